--- a/components/policy/src/fairness/mod.rs
+++ b/components/policy/src/fairness/mod.rs
@@ -1,6 +1,6 @@
 //! Shares of client accounts.
 
+pub(crate) mod recent_usage;
 mod siblings;
-pub(crate) mod told;
 pub(crate) mod tree;
 pub(crate) mod usage;
--- a/components/policy/src/fairness/told.rs
+++ b/components/policy/src/fairness/recent_usage.rs
@@ -56,7 +56,7 @@
 
 /// What the requests of one account at one box used in the window before now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UsedLately {
+pub struct RecentUsage {
     /// The account.
     pub share: Share,
     /// Memory that they held, in tokens times milliseconds.
@@ -68,7 +68,7 @@
 impl Pool {
     /// Takes in what the requests of a box used before this dispatcher was told of them. True where it did not hear the box
     /// lately, which may have had another dispatcher.
-    pub fn adopt_use(&mut self, entry: BoxId, used: &[UsedLately], now_ms: u64) -> bool {
+    pub fn adopt_usage(&mut self, entry: BoxId, used: &[RecentUsage], now_ms: u64) -> bool {
         let part = self.known.take_unknown_part(entry, now_ms);
         // The time before it is told is in its words, and is charged for nothing that it adopts.
         self.tree.pass(now_ms);
@@ -86,5 +86,5 @@
 }
 
 #[cfg(test)]
-#[path = "told_tests.rs"]
+#[path = "recent_usage_tests.rs"]
 mod tests;
--- a/components/policy/src/fairness/told_tests.rs
+++ b/components/policy/src/fairness/recent_usage_tests.rs
@@ -68,17 +68,17 @@
 }
 
 /// What a box tells of a flood that held most of its engines for the whole window.
-fn flooded() -> Vec<UsedLately> {
+fn flooded() -> Vec<RecentUsage> {
     let held_tokens = CAPACITY_TOKENS * ENGINES / 2;
-    vec![UsedLately {
+    vec![RecentUsage {
         share: share(FLOOD),
         held_token_ms: held_tokens * WINDOW_MS as u64,
         prompt_tokens: 4_000,
     }]
 }
 
-fn lent_ms(pool: &Pool, account: u64) -> f64 {
-    pool.tree.lent_ms(&share(account))
+fn excess_ms(pool: &Pool, account: u64) -> f64 {
+    pool.tree.excess_ms(&share(account))
 }
 
 /// Both accounts have a request that waits.
@@ -94,7 +94,7 @@
     let mut untold = pool();
     both_wait(&mut told, 100_000);
     both_wait(&mut untold, 100_000);
-    told.adopt_use(BoxId(1), &flooded(), 100_000);
+    told.adopt_usage(BoxId(1), &flooded(), 100_000);
     let before = |pool: &Pool| pool.tree.rank(&share(OTHER)) < pool.tree.rank(&share(FLOOD));
     assert!(before(&told));
     assert!(!before(&untold));
@@ -110,15 +110,15 @@
 ) {
     let mut pool = pool();
     let at_ms = 100_000;
-    let used = [UsedLately {
+    let used = [RecentUsage {
         share: share(FLOOD),
         held_token_ms: 0,
         prompt_tokens: 100,
     }];
     both_wait(&mut pool, at_ms);
     let rate = pool.reading_rate.tokens_per_ms();
-    pool.adopt_use(BoxId(1), &used, at_ms);
-    pool.adopt_use(BoxId(1), &used, at_ms + later_ms);
+    pool.adopt_usage(BoxId(1), &used, at_ms);
+    pool.adopt_usage(BoxId(1), &used, at_ms + later_ms);
     let charged_ms = pool.tree.rank(&share(FLOOD))[2] - pool.tree.rank(&share(OTHER))[2];
     assert!(
         (charged_ms - times * 100.0 / rate).abs() < 1e-6,
@@ -132,11 +132,11 @@
     both_wait(&mut pool, 100_000);
     pool.tree.pass(100_000);
     for entry in 1..=88 {
-        pool.adopt_use(BoxId(entry), &flooded(), 100_000);
+        pool.adopt_usage(BoxId(entry), &flooded(), 100_000);
     }
     pool.tree.pass(100_010);
-    assert!(lent_ms(&pool, FLOOD) <= WINDOW_MS + 1e-6);
-    assert!(lent_ms(&pool, OTHER) <= 0.0);
+    assert!(excess_ms(&pool, FLOOD) <= WINDOW_MS + 1e-6);
+    assert!(excess_ms(&pool, OTHER) <= 0.0);
 }
 
 /// Callers of two accounts at three boxes; one floods. Each dispatcher is fed as boxes would feed it.
@@ -313,7 +313,7 @@
     #[case] asks_first: bool,
 ) {
     let mut pool = pool();
-    let used = |account| UsedLately {
+    let used = |account| RecentUsage {
         share: share(account),
         held_token_ms: 10_000 * WINDOW_MS as u64,
         prompt_tokens: 4_000,
@@ -330,7 +330,7 @@
         if asks_first {
             ask(&mut pool);
         }
-        pool.adopt_use(BoxId(entry), &accounts.map(used), now_ms);
+        pool.adopt_usage(BoxId(entry), &accounts.map(used), now_ms);
         if !asks_first {
             ask(&mut pool);
         }
@@ -346,7 +346,7 @@
 #[test]
 fn an_account_that_used_nothing_stands_with_the_least_served_of_those_told() {
     let mut pool = pool();
-    pool.adopt_use(BoxId(1), &flooded(), 100_000);
+    pool.adopt_usage(BoxId(1), &flooded(), 100_000);
     pool.submit(demand(1, 1, FLOOD, 100_000), 100_000);
     pool.submit(demand(2, 1, OTHER, 100_010), 100_010);
     let stands = [FLOOD, OTHER].map(|account| pool.tree.rank(&share(account))[2]);
@@ -356,7 +356,7 @@
 #[test]
 fn what_runs_as_a_pool_is_taken_over_is_charged_from_then_on() {
     let mut pool = pool();
-    pool.adopt_use(BoxId(1), &[], 100_000);
+    pool.adopt_usage(BoxId(1), &[], 100_000);
     let adopted = Adopted {
         demand: demand(1, 1, FLOOD, 99_000),
         target: TargetId(0),
--- a/components/policy/src/fairness/tree.rs
+++ b/components/policy/src/fairness/tree.rs
@@ -269,7 +269,7 @@
 
     /// What an account has used beyond the least served one that waits, as time of its own fair share; below zero where
     /// it is owed. It lies within the window on each level.
-    pub fn lent_ms(&self, share: &Share) -> f64 {
+    pub fn excess_ms(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
         self.partners.ahead_ms(share.partner)
--- a/components/policy/src/fairness/tree_tests.rs
+++ b/components/policy/src/fairness/tree_tests.rs
@@ -63,7 +63,7 @@
     tree.charge(&busy, 1e9);
     tree.pass(10);
     tree.waits(&idle);
-    let owed_ms = -tree.lent_ms(&idle);
+    let owed_ms = -tree.excess_ms(&idle);
     assert!(owed_ms > 0.0 && owed_ms <= 2_000.0, "{owed_ms}");
     assert!(tree.rank(&idle) < tree.rank(&busy));
 }
@@ -90,7 +90,7 @@
     tree.waits(&other);
     tree.waits(&was_alone);
     tree.pass(10);
-    assert!(tree.lent_ms(&was_alone) <= 2_000.0 + 1e-6);
+    assert!(tree.excess_ms(&was_alone) <= 2_000.0 + 1e-6);
     // The other uses its fair share, half of ten engines, for two seconds.
     tree.charge(&other, 4_000.0 + 2_000.0 * 5.0);
     tree.pass(20);
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -12,7 +12,7 @@
 
 /// What became of the requests of one account and rank, since the dispatcher began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RankUse {
+pub struct RankCounts {
     /// Requests that were granted.
     pub granted: u64,
     /// Requests that were refused.
@@ -24,7 +24,7 @@
 /// Counts by account and rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Usage {
-    rows: HashMap<(AccountId, u8), RankUse>,
+    rows: HashMap<(AccountId, u8), RankCounts>,
 }
 
 impl Usage {
@@ -36,7 +36,7 @@
         self.row(demand).refused += 1;
     }
 
-    fn row(&mut self, demand: &Demand) -> &mut RankUse {
+    fn row(&mut self, demand: &Demand) -> &mut RankCounts {
         let mut key = (demand.share.account, demand.rank);
         if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key) {
             key = (AccountId::default(), demand.rank);
@@ -47,17 +47,17 @@
 
 /// One account as a dispatcher sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AccountUse {
+pub struct AccountUsage {
     /// The account.
     pub account: AccountId,
     /// What became of its requests, by rank.
-    pub ranks: BTreeMap<u8, RankUse>,
+    pub ranks: BTreeMap<u8, RankCounts>,
     /// The part of the memory in use that it holds.
     pub held_part: f64,
     /// The part that it is entitled to among those that wait or run.
     pub entitled_part: f64,
     /// What it used beyond the least served that waits, as time of its fair share; below zero where it is owed.
-    pub lent_ms: f64,
+    pub excess_ms: f64,
     /// The share of the pool's memory that it may hold; none where it has no cap.
     pub cap_share: Option<f64>,
 }
@@ -69,7 +69,7 @@
             waiting: self.queue.len() as u32,
             held_permille: (self.tree.held_part(&demand.share) * 1_000.0) as u16,
             entitled_permille: (self.tree.entitled_part(&demand.share) * 1_000.0) as u16,
-            lent_ms: self.tree.lent_ms(&demand.share) as i32,
+            lent_ms: self.tree.excess_ms(&demand.share) as i32,
             floods: self.tree.floods(&demand.share),
             ..Standing::default()
         };
@@ -87,8 +87,8 @@
     }
 
     /// The accounts that it served or refused, or that wait, those that hold most first.
-    pub fn accounts(&self) -> Vec<AccountUse> {
-        let mut ranks: HashMap<AccountId, BTreeMap<u8, RankUse>> = HashMap::new();
+    pub fn accounts(&self) -> Vec<AccountUsage> {
+        let mut ranks: HashMap<AccountId, BTreeMap<u8, RankCounts>> = HashMap::new();
         for ((account, rank), row) in &self.usage.rows {
             ranks.entry(*account).or_default().insert(*rank, *row);
         }
@@ -101,18 +101,18 @@
             .shares()
             .map(|share| (share.account, share))
             .collect();
-        let of = |(account, ranks): (AccountId, BTreeMap<u8, RankUse>)| {
+        let of = |(account, ranks): (AccountId, BTreeMap<u8, RankCounts>)| {
             let share = shares.get(&account);
-            AccountUse {
+            AccountUsage {
                 account,
                 ranks,
                 held_part: share.map_or(0.0, |share| self.tree.held_part(share)),
                 entitled_part: share.map_or(0.0, |share| self.tree.entitled_part(share)),
-                lent_ms: share.map_or(0.0, |share| self.tree.lent_ms(share)),
+                excess_ms: share.map_or(0.0, |share| self.tree.excess_ms(share)),
                 cap_share: self.tree.cap_of(account),
             }
         };
-        let mut accounts: Vec<AccountUse> = ranks.into_iter().map(of).collect();
+        let mut accounts: Vec<AccountUsage> = ranks.into_iter().map(of).collect();
         accounts.sort_by(|one, other| {
             let by_part = other.held_part.total_cmp(&one.held_part);
             by_part.then(one.account.cmp(&other.account))
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -6,7 +6,7 @@
 use crate::admission::outlook::{Need, Outlook};
 use crate::admission::queue::Queue;
 use crate::demand::{Demand, RANKS, Submitted, Verdict};
-use crate::fairness::told::KnownBoxes;
+use crate::fairness::recent_usage::KnownBoxes;
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
 use crate::kind::{PolicyKind, PoolSettings};
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -323,7 +323,7 @@
             .collect();
         self.with_dispatcher(pool, |dispatcher, now_ms| {
             let kept: HashSet<PermitId> = demands.iter().map(|(d, _)| d.permit).collect();
-            let was_away = dispatcher.pool.adopt_use(from, &used, now_ms);
+            let was_away = dispatcher.pool.adopt_usage(from, &used, now_ms);
             let says_again = was_away && dispatcher.dispatched_elsewhere(now_ms);
             dispatcher.pool.keep_only(from, &kept, now_ms);
             for (demand, stream) in demands {
--- a/components/relay/src/dispatch/shares.rs
+++ b/components/relay/src/dispatch/shares.rs
@@ -5,7 +5,7 @@
 use crate::state::{Relay, pool_of};
 use operators::{AccountShareView, PoolSharesView, RankShareView};
 use peers::{AccountUsed, AcquireRequest, PermitReply};
-use policy::{AccountUse, Demand, RankUse, Share, UsedLately, Verdict};
+use policy::{AccountUsage, Demand, RankCounts, RecentUsage, Share, Verdict};
 use prelude::{AccountId, PoolId, Refusal, Standing};
 use std::collections::HashMap;
 
@@ -43,8 +43,8 @@
         }
     }
 
-    pub(crate) fn used_of(&self, used: &[AccountUsed]) -> Vec<UsedLately> {
-        let of_account = |one: &AccountUsed| UsedLately {
+    pub(crate) fn used_of(&self, used: &[AccountUsed]) -> Vec<RecentUsage> {
+        let of_account = |one: &AccountUsed| RecentUsage {
             share: self.share_of(one.account),
             held_token_ms: one.held_token_ms,
             prompt_tokens: one.prompt_tokens,
@@ -101,8 +101,8 @@
         views
     }
 
-    fn account_view(&self, one: &AccountUse) -> AccountShareView {
-        let of_rank = |(rank, used): (&u8, &RankUse)| RankShareView {
+    fn account_view(&self, one: &AccountUsage) -> AccountShareView {
+        let of_rank = |(rank, used): (&u8, &RankCounts)| RankShareView {
             rank: *rank,
             granted: used.granted,
             refused: used.refused,
@@ -112,7 +112,7 @@
             account: self.name_of_account(one.account),
             held_part: one.held_part,
             entitled_part: one.entitled_part,
-            lent_ms: one.lent_ms as i64,
+            lent_ms: one.excess_ms as i64,
             cap_share: one.cap_share,
             ranks: one.ranks.iter().map(of_rank).collect(),
         }
