--- a/components/policy/src/admission/protection.rs
+++ b/components/policy/src/admission/protection.rs
@@ -41,13 +41,13 @@
     /// Whether a place is of an account that floods and asks for more than all others.
     pub(crate) fn outweighs_others(&self, place: Place) -> bool {
         let front = self.queue.front(place);
-        front.is_some_and(|demand| self.tree.outweighs_others(&demand.share))
+        front.is_some_and(|demand| self.tree.has_dominant_demand(&demand.share))
     }
 
     /// Engines that are kept free while a prompt is read. The requests of accounts that flood are not among what comes.
     fn kept_engines(&self, demand: &Demand, read_ms: f64, now_ms: u64) -> f64 {
         let coming = &self.outlook.coming;
-        if self.tree.outweighs_others(&demand.share) {
+        if self.tree.has_dominant_demand(&demand.share) {
             let mean = coming.requests_before(RANKS as u8, now_ms) * read_ms;
             return mean + KEPT_DEVIATIONS * mean.sqrt();
         }
--- a/components/policy/src/admission/protection_tests.rs
+++ b/components/policy/src/admission/protection_tests.rs
@@ -122,7 +122,7 @@
 ) {
     let mut pool = pool(false);
     for account in 2..6 {
-        pool.tree.asks(&demand(0, account, 0).share, 1);
+        pool.tree.record_arrival(&demand(0, account, 0).share, 1);
     }
     urgent_came(&mut pool, others);
     for serial in 0..4 {
@@ -132,7 +132,7 @@
         };
         pool.submit(flooding, 1_000);
     }
-    assert!(pool.tree.floods(&demand(0, 9, 0).share));
+    assert!(pool.tree.is_flooding(&demand(0, 9, 0).share));
     assert_eq!(granted(&pool.run(1_000)), expected);
     assert_eq!(granted(&pool.run(6_000)), 4 - expected);
 }
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -131,14 +131,14 @@
                 continue;
             };
             let share = &front.demand.share;
-            let floods = tree.floods(share);
-            if tree.is_capped(share, front.demand.prompt_tokens)
-                || (floods && tree.is_nearly_full())
+            let floods = tree.is_flooding(share);
+            if tree.would_exceed_cap(share, front.demand.prompt_tokens)
+                || (floods && tree.is_headroom_reserved())
             {
                 continue;
             }
             let has_turn = self.has_turn(*place, front, now_ms);
-            let service = tree.rank(share);
+            let service = tree.service_ms_by_level(share);
             let order: Order = (
                 floods,
                 !has_turn,
@@ -177,7 +177,7 @@
         self.lines.values().any(|line| {
             let front = line.front().map(|waiting| &waiting.demand);
             let long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
-            long.is_some_and(|demand| !tree.floods(&demand.share))
+            long.is_some_and(|demand| !tree.is_flooding(&demand.share))
         })
     }
 
@@ -189,7 +189,9 @@
     pub fn in_order(&self, tree: &FairTree) -> Vec<(&Demand, &Need)> {
         let mut waiting: Vec<(bool, &Waiting)> = Vec::with_capacity(self.len);
         for line in self.lines.values() {
-            let floods = line.front().is_some_and(|w| tree.floods(&w.demand.share));
+            let floods = line
+                .front()
+                .is_some_and(|w| tree.is_flooding(&w.demand.share));
             waiting.extend(line.iter().map(|waiting| (floods, waiting)));
         }
         waiting.sort_by_key(|(floods, waiting)| {
@@ -236,10 +238,10 @@
         begins_by_ms: u64,
         tree: &'a FairTree,
     ) -> impl Iterator<Item = &'a Waiting> {
-        let turn = (tree.floods(&demand.share), demand.rank_in_use());
+        let turn = (tree.is_flooding(&demand.share), demand.rank_in_use());
         let key = (demand.leaves_ms, begins_by_ms, demand.since_ms);
         let lines = self.lines.iter().filter_map(move |(place, line)| {
-            let floods = tree.floods(&line.front()?.demand.share);
+            let floods = tree.is_flooding(&line.front()?.demand.share);
             let other = (floods, place.rank);
             (other <= turn).then_some((other < turn, line))
         });
--- a/components/policy/src/admission/queue_tests.rs
+++ b/components/policy/src/admission/queue_tests.rs
@@ -86,7 +86,7 @@
     let mut tree = FairTree::default();
     let (served, other) = (demand(1, 1, 0), demand(2, 2, 0));
     for share in [&served.share, &other.share] {
-        tree.waits(share);
+        tree.add_waiting(share);
     }
     tree.charge(&served.share, 1_000.0);
     queue.push(served, 0, Need::default());
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -32,7 +32,7 @@
             return beyond_rates;
         }
         // What fits nowhere says nothing of what needs room, and no room is kept for what goes behind all others.
-        if !self.tree.floods(&demand.share) {
+        if !self.tree.is_flooding(&demand.share) {
             self.outlook.coming.came(demand, need, now_ms);
         }
         if self.settings.waiting == WaitingPolicy::FirstToken {
@@ -82,8 +82,8 @@
             .collect();
         let expired = self.queue.take_if(|demand| over.contains(&demand.permit));
         for demand in expired {
-            self.tree.leaves(&demand.share);
-            self.usage.refused(&demand);
+            self.tree.remove_waiting(&demand.share);
+            self.usage.record_refusal(&demand);
             // Its first token would have come after its prompt was read, at the soonest.
             let read_ms = self.read_ms(&demand) as u64;
             let errors = &mut self.outlook.errors;
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/waiting.rs
@@ -122,8 +122,8 @@
         for (permit, _) in &verdicts {
             self.outlook.errors.left(*permit);
             if let Some(demand) = self.queue.remove(*permit) {
-                self.usage.refused(&demand);
-                self.tree.leaves(&demand.share);
+                self.usage.record_refusal(&demand);
+                self.tree.remove_waiting(&demand.share);
             }
         }
         verdicts
@@ -139,7 +139,7 @@
         returning: &mut Returning,
     ) -> Refusal {
         let now_ms = self.now_ms;
-        let floods = self.tree.floods(&demand.share);
+        let floods = self.tree.is_flooding(&demand.share);
         let turn = (floods, demand.rank_in_use());
         let ahead = self.settings.memory_ahead;
         if ahead {
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -14,7 +14,7 @@
     /// Changes the settings; the margin stays within the new bounds.
     pub fn set_settings(&mut self, settings: PoolSettings) {
         self.margin = self.margin.clamp(settings.margin_min, settings.margin_max);
-        self.tree.set_orders(settings.fair);
+        self.tree.set_enabled(settings.fair);
         self.settings = settings;
     }
 
@@ -27,7 +27,7 @@
     fn sync_room(&mut self) {
         let engines = &self.engines;
         self.tree
-            .set_room(engines.live_count(), engines.live_tokens());
+            .set_capacity(engines.live_count(), engines.live_tokens());
     }
 
     /// Sets which engines there are. Ledgers of engines that stay are kept.
--- a/components/policy/src/fairness/recent_usage.rs
+++ b/components/policy/src/fairness/recent_usage.rs
@@ -19,13 +19,13 @@
 
 /// The boxes whose use a dispatcher charges itself, and since when.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct KnownBoxes {
+pub(crate) struct ObservedBoxes {
     boxes: HashMap<BoxId, Known>,
 }
 
-impl KnownBoxes {
+impl ObservedBoxes {
     /// Notes that a box was heard.
-    pub fn heard(&mut self, id: BoxId, now_ms: u64) {
+    pub fn record_contact(&mut self, id: BoxId, now_ms: u64) {
         let known = self.boxes.entry(id).or_insert(Known {
             since_ms: now_ms,
             latest_ms: now_ms,
@@ -38,7 +38,7 @@
 
     /// The part of the window before now in which this dispatcher did not hear of a box; from then on it does.
     fn take_unknown_part(&mut self, id: BoxId, now_ms: u64) -> f64 {
-        self.heard(id, now_ms);
+        self.record_contact(id, now_ms);
         let Some(known) = self.boxes.get_mut(&id) else {
             return 0.0;
         };
@@ -71,7 +71,7 @@
     pub fn adopt_usage(&mut self, entry: BoxId, used: &[RecentUsage], now_ms: u64) -> bool {
         let part = self.known.take_unknown_part(entry, now_ms);
         // The time before it is told is in its words, and is charged for nothing that it adopts.
-        self.tree.pass(now_ms);
+        self.tree.advance(now_ms);
         if part <= 0.0 {
             return false;
         }
@@ -79,7 +79,8 @@
         for one in used {
             let read_ms = f64::from(one.prompt_tokens) / rate;
             let held_ms = self.tree.engine_ms(one.held_token_ms as f64);
-            self.tree.told(&one.share, (read_ms + held_ms) * part);
+            self.tree
+                .charge_reported(&one.share, (read_ms + held_ms) * part);
         }
         true
     }
--- a/components/policy/src/fairness/recent_usage_tests.rs
+++ b/components/policy/src/fairness/recent_usage_tests.rs
@@ -84,7 +84,8 @@
 /// Both accounts have a request that waits.
 fn both_wait(pool: &mut Pool, now_ms: u64) {
     for (serial, account) in [(901, FLOOD), (902, OTHER)] {
-        pool.tree.waits(&demand(9, serial, account, now_ms).share);
+        pool.tree
+            .add_waiting(&demand(9, serial, account, now_ms).share);
     }
 }
 
@@ -95,7 +96,9 @@
     both_wait(&mut told, 100_000);
     both_wait(&mut untold, 100_000);
     told.adopt_usage(BoxId(1), &flooded(), 100_000);
-    let before = |pool: &Pool| pool.tree.rank(&share(OTHER)) < pool.tree.rank(&share(FLOOD));
+    let before = |pool: &Pool| {
+        pool.tree.service_ms_by_level(&share(OTHER)) < pool.tree.service_ms_by_level(&share(FLOOD))
+    };
     assert!(before(&told));
     assert!(!before(&untold));
 }
@@ -119,7 +122,8 @@
     let rate = pool.reading_rate.tokens_per_ms();
     pool.adopt_usage(BoxId(1), &used, at_ms);
     pool.adopt_usage(BoxId(1), &used, at_ms + later_ms);
-    let charged_ms = pool.tree.rank(&share(FLOOD))[2] - pool.tree.rank(&share(OTHER))[2];
+    let charged_ms = pool.tree.service_ms_by_level(&share(FLOOD))[2]
+        - pool.tree.service_ms_by_level(&share(OTHER))[2];
     assert!(
         (charged_ms - times * 100.0 / rate).abs() < 1e-6,
         "{charged_ms}"
@@ -130,11 +134,11 @@
 fn what_boxes_tell_adds_up_and_stays_within_the_window() {
     let mut pool = pool();
     both_wait(&mut pool, 100_000);
-    pool.tree.pass(100_000);
+    pool.tree.advance(100_000);
     for entry in 1..=88 {
         pool.adopt_usage(BoxId(entry), &flooded(), 100_000);
     }
-    pool.tree.pass(100_010);
+    pool.tree.advance(100_010);
     assert!(excess_ms(&pool, FLOOD) <= WINDOW_MS + 1e-6);
     assert!(excess_ms(&pool, OTHER) <= 0.0);
 }
@@ -334,9 +338,9 @@
         if !asks_first {
             ask(&mut pool);
         }
-        pool.tree.pass(now_ms + 15);
+        pool.tree.advance(now_ms + 15);
     }
-    let stands = [1, 2, 3].map(|account| pool.tree.rank(&share(account))[2]);
+    let stands = [1, 2, 3].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
     // The later a word is, the more of what it tells a dispatcher that heard the box before charged itself.
     let most = stands.into_iter().fold(f64::MIN, f64::max);
     let least = stands.into_iter().fold(f64::MAX, f64::min);
@@ -349,7 +353,7 @@
     pool.adopt_usage(BoxId(1), &flooded(), 100_000);
     pool.submit(demand(1, 1, FLOOD, 100_000), 100_000);
     pool.submit(demand(2, 1, OTHER, 100_010), 100_010);
-    let stands = [FLOOD, OTHER].map(|account| pool.tree.rank(&share(account))[2]);
+    let stands = [FLOOD, OTHER].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
     assert!(stands[1] > 0.0 && stands[0] >= stands[1], "{stands:?}");
 }
 
@@ -364,7 +368,7 @@
     };
     pool.adopt(adopted, 100_000);
     pool.submit(demand(2, 1, OTHER, 100_020), 100_020);
-    let charged_ms = pool.tree.rank(&share(FLOOD))[2];
+    let charged_ms = pool.tree.service_ms_by_level(&share(FLOOD))[2];
     assert!(charged_ms <= 20.0, "{charged_ms}");
 }
 
--- a/components/policy/src/fairness/tree.rs
+++ b/components/policy/src/fairness/tree.rs
@@ -77,13 +77,13 @@
 
 impl FairTree {
     /// Sets how many engines take work, and the memory that they have together.
-    pub fn set_room(&mut self, engines: usize, memory_tokens: u64) {
+    pub fn set_capacity(&mut self, engines: usize, memory_tokens: u64) {
         self.engines = (engines as f64).max(1.0);
         self.engine_tokens = (memory_tokens as f64 / self.engines).max(1.0);
     }
 
     /// Sets whether shares order anything.
-    pub fn set_orders(&mut self, orders: bool) {
+    pub fn set_enabled(&mut self, orders: bool) {
         self.orders = orders;
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Charges for the time that has passed.
-    pub fn pass(&mut self, now_ms: u64) {
+    pub fn advance(&mut self, now_ms: u64) {
         if now_ms < self.passed_ms + PASS_EACH_MS {
             return;
         }
@@ -121,12 +121,12 @@
     }
 
     /// Notes that a prompt of so many tokens is asked for, whatever becomes of it.
-    pub fn asks(&mut self, share: &Share, tokens: u32) {
+    pub fn record_arrival(&mut self, share: &Share, tokens: u32) {
         self.each(share, |child| child.asked_tokens += f64::from(tokens));
     }
 
     /// Notes that a request waits.
-    pub fn waits(&mut self, share: &Share) {
+    pub fn add_waiting(&mut self, share: &Share) {
         let (partners, owners, accounts) = self.levels(share);
         partners.waits(share.partner, share.partner_weight);
         owners.waits(share.owner, share.owner_weight);
@@ -134,26 +134,26 @@
     }
 
     /// Notes that a waiting request waits no more, without being run.
-    pub fn leaves(&mut self, share: &Share) {
+    pub fn remove_waiting(&mut self, share: &Share) {
         self.each(share, |child| {
             child.waiting = child.waiting.saturating_sub(1);
         });
     }
 
     /// Notes that a request runs.
-    pub fn runs(&mut self, share: &Share) {
+    pub fn add_running(&mut self, share: &Share) {
         self.each(share, |child| child.running += 1);
     }
 
     /// Notes that a running request ended.
-    pub fn ends(&mut self, share: &Share) {
+    pub fn remove_running(&mut self, share: &Share) {
         self.each(share, |child| {
             child.running = child.running.saturating_sub(1);
         });
     }
 
     /// Notes that requests hold so many tokens more, or less.
-    pub fn holds(&mut self, share: &Share, tokens: f64) {
+    pub fn adjust_tokens_in_use(&mut self, share: &Share, tokens: f64) {
         self.each(share, |child| {
             child.held_tokens = (child.held_tokens + tokens).max(0.0);
         });
@@ -165,7 +165,7 @@
     }
 
     /// Charges time of an engine that a box tells of: it lies before this tree knew of it.
-    pub fn told(&mut self, share: &Share, ms: f64) {
+    pub fn charge_reported(&mut self, share: &Share, ms: f64) {
         let (partners, owners, accounts) = self.levels(share);
         partners.told(share.partner, share.partner_weight, ms);
         owners.told(share.owner, share.owner_weight, ms);
@@ -173,7 +173,7 @@
     }
 
     /// Orders shares: the least served partner first, then owner, then account.
-    pub fn rank(&self, share: &Share) -> [f64; 3] {
+    pub fn service_ms_by_level(&self, share: &Share) -> [f64; 3] {
         if !self.orders {
             return [0.0; 3];
         }
@@ -239,25 +239,25 @@
 
     /// Whether an account's requests go behind those of all others, whatever their rank: against the others it asked
     /// lately for many times its part. Who is alone never does.
-    pub fn floods(&self, share: &Share) -> bool {
+    pub fn is_flooding(&self, share: &Share) -> bool {
         let (asked, part) = (self.asked_part(share), self.present_part(share));
         self.orders && asked * (1.0 - part) > FLOOD_TIMES * part * (1.0 - asked)
     }
 
     /// Whether an account that floods asked lately for about as much as all others together: what is left free for them then costs
     /// it less than they would lose. The largest account of many, at a busy moment, does not.
-    pub fn outweighs_others(&self, share: &Share) -> bool {
-        self.asked_part(share) > OUTWEIGHS_PART && self.floods(share)
+    pub fn has_dominant_demand(&self, share: &Share) -> bool {
+        self.asked_part(share) > OUTWEIGHS_PART && self.is_flooding(share)
     }
 
     /// Notes that a request of an account that does not flood waits for long, or is refused.
-    pub fn others_wait(&mut self, now_ms: u64) {
+    pub fn record_non_flooding_wait(&mut self, now_ms: u64) {
         self.others_waited_ms = Some(now_ms);
     }
 
     /// Whether the memory that is left is kept for accounts that do not flood, so that they need not wait until a flood's
     /// requests end. Where none of them waited of late, everything may be used.
-    pub fn is_nearly_full(&self) -> bool {
+    pub fn is_headroom_reserved(&self) -> bool {
         let waited_ms = self.others_waited_ms;
         if waited_ms.is_none_or(|at_ms| at_ms + OTHERS_WAITED_MS < self.passed_ms) {
             return false;
@@ -278,7 +278,7 @@
     }
 
     /// Whether an account's cap leaves no room for so many tokens. One that holds nothing always has room for one.
-    pub fn is_capped(&self, share: &Share, tokens: u32) -> bool {
+    pub fn would_exceed_cap(&self, share: &Share, tokens: u32) -> bool {
         let Some(cap) = self.caps.get(&share.account) else {
             return false;
         };
--- a/components/policy/src/fairness/tree_tests.rs
+++ b/components/policy/src/fairness/tree_tests.rs
@@ -17,7 +17,7 @@
 
 fn tree() -> FairTree {
     let mut tree = FairTree::default();
-    tree.set_room(ENGINES, ENGINES as u64 * ENGINE_TOKENS);
+    tree.set_capacity(ENGINES, ENGINES as u64 * ENGINE_TOKENS);
     tree
 }
 
@@ -25,11 +25,13 @@
 fn serves_by_weight() {
     let mut tree = tree();
     let shares = [share(1, 1.0), share(2, 3.0)];
-    shares.iter().for_each(|share| tree.waits(share));
+    shares.iter().for_each(|share| tree.add_waiting(share));
     let mut served = [0u32; 2];
     for at in 1..=400 {
-        tree.pass(at * 10);
-        let first = usize::from(tree.rank(&shares[1]) < tree.rank(&shares[0]));
+        tree.advance(at * 10);
+        let first = usize::from(
+            tree.service_ms_by_level(&shares[1]) < tree.service_ms_by_level(&shares[0]),
+        );
         tree.charge(&shares[first], 10.0);
         served[first] += 1;
     }
@@ -41,15 +43,15 @@
     let mut tree = tree();
     let (long, short) = (share(1, 1.0), share(2, 1.0));
     for one in [&long, &short] {
-        tree.waits(one);
-        tree.runs(one);
-        tree.holds(one, 500.0);
+        tree.add_waiting(one);
+        tree.add_running(one);
+        tree.adjust_tokens_in_use(one, 500.0);
     }
-    tree.pass(100);
-    tree.ends(&short);
-    tree.holds(&short, -500.0);
-    tree.pass(400);
-    let more_ms = tree.rank(&long)[1] - tree.rank(&short)[1];
+    tree.advance(100);
+    tree.remove_running(&short);
+    tree.adjust_tokens_in_use(&short, -500.0);
+    tree.advance(400);
+    let more_ms = tree.service_ms_by_level(&long)[1] - tree.service_ms_by_level(&short)[1];
     assert!((more_ms - 150.0).abs() < 1e-6, "{more_ms}");
 }
 
@@ -57,56 +59,59 @@
 fn what_is_not_used_is_saved_up_for_a_window_at_the_most() {
     let mut tree = tree();
     let (busy, idle) = (share(1, 1.0), share(2, 1.0));
-    tree.waits(&idle);
-    tree.waits(&busy);
-    tree.leaves(&idle);
+    tree.add_waiting(&idle);
+    tree.add_waiting(&busy);
+    tree.remove_waiting(&idle);
     tree.charge(&busy, 1e9);
-    tree.pass(10);
-    tree.waits(&idle);
+    tree.advance(10);
+    tree.add_waiting(&idle);
     let owed_ms = -tree.excess_ms(&idle);
     assert!(owed_ms > 0.0 && owed_ms <= 2_000.0, "{owed_ms}");
-    assert!(tree.rank(&idle) < tree.rank(&busy));
+    assert!(tree.service_ms_by_level(&idle) < tree.service_ms_by_level(&busy));
 }
 
 #[test]
 fn who_is_new_or_was_away_for_long_stands_with_the_least_served() {
     let mut tree = tree();
     let (much, little, new) = (share(1, 1.0), share(2, 1.0), share(3, 1.0));
-    tree.waits(&much);
-    tree.waits(&little);
+    tree.add_waiting(&much);
+    tree.add_waiting(&little);
     tree.charge(&much, 900.0);
     tree.charge(&little, 300.0);
-    tree.pass(10);
-    tree.waits(&new);
-    assert_eq!(tree.rank(&new)[1], tree.rank(&little)[1]);
+    tree.advance(10);
+    tree.add_waiting(&new);
+    assert_eq!(
+        tree.service_ms_by_level(&new)[1],
+        tree.service_ms_by_level(&little)[1]
+    );
 }
 
 #[test]
 fn nobody_pays_for_longer_than_a_window_for_what_it_used_alone() {
     let mut tree = tree();
     let (was_alone, other) = (share(1, 1.0), share(2, 1.0));
-    tree.runs(&was_alone);
+    tree.add_running(&was_alone);
     tree.charge(&was_alone, 1e9);
-    tree.waits(&other);
-    tree.waits(&was_alone);
-    tree.pass(10);
+    tree.add_waiting(&other);
+    tree.add_waiting(&was_alone);
+    tree.advance(10);
     assert!(tree.excess_ms(&was_alone) <= 2_000.0 + 1e-6);
     // The other uses its fair share, half of ten engines, for two seconds.
     tree.charge(&other, 4_000.0 + 2_000.0 * 5.0);
-    tree.pass(20);
-    assert!(tree.rank(&was_alone) <= tree.rank(&other));
+    tree.advance(20);
+    assert!(tree.service_ms_by_level(&was_alone) <= tree.service_ms_by_level(&other));
 }
 
 #[test]
 fn siblings_of_other_owners_do_not_count() {
     let mut tree = tree();
     let (one, other) = (share(1, 1.0), share(2, 1.0));
-    tree.waits(&one);
+    tree.add_waiting(&one);
     tree.charge(&one, 500.0);
-    tree.pass(10);
-    tree.waits(&other);
+    tree.advance(10);
+    tree.add_waiting(&other);
     assert!((tree.entitled_part(&one) - 0.5).abs() < 1e-9);
-    assert!(tree.rank(&other)[2] <= 0.0);
+    assert!(tree.service_ms_by_level(&other)[2] <= 0.0);
 }
 
 #[test]
@@ -114,13 +119,13 @@
     let mut tree = tree();
     let (one, other) = (share(1, 1.0), share(2, 1.0));
     for (share, tokens) in [(&one, 900.0), (&other, 100.0)] {
-        tree.runs(share);
-        tree.holds(share, tokens);
+        tree.add_running(share);
+        tree.adjust_tokens_in_use(share, tokens);
     }
     assert!(tree.is_over_share(&one));
     assert!(!tree.is_over_share(&other));
-    tree.ends(&other);
-    tree.holds(&other, -100.0);
+    tree.remove_running(&other);
+    tree.adjust_tokens_in_use(&other, -100.0);
     assert!(!tree.is_over_share(&one), "who is alone may use everything");
 }
 
@@ -129,27 +134,27 @@
     let mut tree = tree();
     let one = share(1, 1.0);
     tree.set_caps([(one.account, 0.1)].into());
-    assert!(!tree.is_capped(&one, 5_000));
-    tree.runs(&one);
-    tree.holds(&one, 800.0);
-    assert!(!tree.is_capped(&one, 200));
-    assert!(tree.is_capped(&one, 201));
+    assert!(!tree.would_exceed_cap(&one, 5_000));
+    tree.add_running(&one);
+    tree.adjust_tokens_in_use(&one, 800.0);
+    assert!(!tree.would_exceed_cap(&one, 200));
+    assert!(tree.would_exceed_cap(&one, 201));
     tree.set_caps(HashMap::new());
-    assert!(!tree.is_capped(&one, 201));
+    assert!(!tree.would_exceed_cap(&one, 201));
 }
 
 #[test]
 fn counters_of_those_who_left_are_forgotten() {
     let mut tree = tree();
     for owner in 2..100 {
-        tree.runs(&share(owner, 1.0));
-        tree.ends(&share(owner, 1.0));
+        tree.add_running(&share(owner, 1.0));
+        tree.remove_running(&share(owner, 1.0));
     }
     let busy = share(1, 1.0);
-    tree.waits(&busy);
+    tree.add_waiting(&busy);
     for at in 1..1_000 {
         tree.charge(&busy, 100.0);
-        tree.pass(at * 10);
+        tree.advance(at * 10);
     }
     assert_eq!(tree.accounts.len(), 1);
 }
@@ -172,12 +177,12 @@
         } else {
             others_tokens
         };
-        tree.asks(&share(owner, 1.0), tokens);
+        tree.record_arrival(&share(owner, 1.0), tokens);
     }
-    assert_eq!(tree.floods(&share(1, 1.0)), floods);
-    assert!(!tree.floods(&share(2, 1.0)));
-    tree.set_orders(false);
-    assert!(!tree.floods(&share(1, 1.0)));
+    assert_eq!(tree.is_flooding(&share(1, 1.0)), floods);
+    assert!(!tree.is_flooding(&share(2, 1.0)));
+    tree.set_enabled(false);
+    assert!(!tree.is_flooding(&share(1, 1.0)));
 }
 
 /// Beside a large account each of 23 small ones comes once in seven seconds.
@@ -187,53 +192,53 @@
     for at in 0..100 {
         let came = [(1, 80), (2, 100), (3 + at % 23, 5)];
         for (account, tokens) in came {
-            tree.asks(&share(account, 1.0), tokens);
-            tree.runs(&share(account, 1.0));
+            tree.record_arrival(&share(account, 1.0), tokens);
+            tree.add_running(&share(account, 1.0));
         }
-        tree.pass(at * 300 + 10);
+        tree.advance(at * 300 + 10);
         for (account, _) in came {
-            tree.ends(&share(account, 1.0));
+            tree.remove_running(&share(account, 1.0));
         }
-        tree.pass(at * 300 + 299);
+        tree.advance(at * 300 + 299);
     }
-    assert!(tree.floods(&share(1, 1.0)));
+    assert!(tree.is_flooding(&share(1, 1.0)));
 }
 
 #[test]
 fn who_is_alone_never_floods() {
     let mut tree = tree();
-    tree.asks(&share(1, 1.0), 1_000_000);
-    assert!(!tree.floods(&share(1, 1.0)));
+    tree.record_arrival(&share(1, 1.0), 1_000_000);
+    assert!(!tree.is_flooding(&share(1, 1.0)));
 }
 
 #[test]
 fn a_flood_is_over_when_it_is_asked_no_more() {
     let mut tree = tree();
     for owner in 1..=24 {
-        tree.asks(&share(owner, 1.0), if owner == 1 { 500 } else { 20 });
+        tree.record_arrival(&share(owner, 1.0), if owner == 1 { 500 } else { 20 });
     }
-    assert!(tree.floods(&share(1, 1.0)));
+    assert!(tree.is_flooding(&share(1, 1.0)));
     for at in 1..=600 {
-        tree.pass(at * 10);
+        tree.advance(at * 10);
         for owner in 1..=24 {
-            tree.asks(&share(owner, 1.0), 1);
+            tree.record_arrival(&share(owner, 1.0), 1);
         }
     }
-    assert!(!tree.floods(&share(1, 1.0)));
+    assert!(!tree.is_flooding(&share(1, 1.0)));
 }
 
 #[test]
 fn room_is_left_to_others_only_while_they_waited_of_late() {
     let mut tree = tree();
-    tree.runs(&share(1, 1.0));
-    tree.holds(&share(1, 1.0), 9_000.0);
-    tree.pass(1_000);
-    assert!(!tree.is_nearly_full());
-    tree.others_wait(1_000);
-    tree.pass(6_000);
-    assert!(tree.is_nearly_full());
-    tree.pass(6_010);
-    assert!(!tree.is_nearly_full());
+    tree.add_running(&share(1, 1.0));
+    tree.adjust_tokens_in_use(&share(1, 1.0), 9_000.0);
+    tree.advance(1_000);
+    assert!(!tree.is_headroom_reserved());
+    tree.record_non_flooding_wait(1_000);
+    tree.advance(6_000);
+    assert!(tree.is_headroom_reserved());
+    tree.advance(6_010);
+    assert!(!tree.is_headroom_reserved());
 }
 
 /// One of 24 accounts asks for so many tokens where each other asks for 10.
@@ -245,9 +250,9 @@
     #[case] expected: bool,
 ) {
     let mut tree = tree();
-    tree.asks(&share(1, 1.0), tokens);
+    tree.record_arrival(&share(1, 1.0), tokens);
     for account in 2..25 {
-        tree.asks(&share(account, 1.0), 10);
+        tree.record_arrival(&share(account, 1.0), 10);
     }
-    assert_eq!(tree.outweighs_others(&share(1, 1.0)), expected);
+    assert_eq!(tree.has_dominant_demand(&share(1, 1.0)), expected);
 }
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -28,11 +28,11 @@
 }
 
 impl Usage {
-    pub fn granted(&mut self, demand: &Demand) {
+    pub fn record_grant(&mut self, demand: &Demand) {
         self.row(demand).granted += 1;
     }
 
-    pub fn refused(&mut self, demand: &Demand) {
+    pub fn record_refusal(&mut self, demand: &Demand) {
         self.row(demand).refused += 1;
     }
 
@@ -70,7 +70,7 @@
             held_permille: (self.tree.held_part(&demand.share) * 1_000.0) as u16,
             entitled_permille: (self.tree.entitled_part(&demand.share) * 1_000.0) as u16,
             lent_ms: self.tree.excess_ms(&demand.share) as i32,
-            floods: self.tree.floods(&demand.share),
+            floods: self.tree.is_flooding(&demand.share),
             ..Standing::default()
         };
         let begins_by_ms = self.waits_until_ms(demand);
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -21,15 +21,15 @@
     pub fn adopt(&mut self, adopted: Adopted, now_ms: u64) {
         let permit = adopted.demand.permit;
         self.heard_ms.insert(permit.entry, now_ms);
-        self.known.heard(permit.entry, now_ms);
+        self.known.record_contact(permit.entry, now_ms);
         if self.by_permit.contains_key(&permit) {
             self.progress(permit, adopted.generated_tokens, now_ms);
             return;
         }
         if let Some(waiting) = self.queue.remove(permit) {
-            self.tree.leaves(&waiting.share);
+            self.tree.remove_waiting(&waiting.share);
         }
-        self.tree.runs(&adopted.demand.share);
+        self.tree.add_running(&adopted.demand.share);
         let generated_tokens = adopted.generated_tokens;
         self.place(adopted.demand, adopted.target, generated_tokens, now_ms);
     }
@@ -85,7 +85,7 @@
             .queue
             .take_if(|demand| boxes.contains(&demand.permit.entry))
         {
-            self.tree.leaves(&demand.share);
+            self.tree.remove_waiting(&demand.share);
         }
         self.heard_ms.retain(|id, _| !boxes.contains(id));
         self.known.forget(&boxes);
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -6,7 +6,7 @@
 use crate::admission::outlook::{Need, Outlook};
 use crate::admission::queue::Queue;
 use crate::demand::{Demand, RANKS, Submitted, Verdict};
-use crate::fairness::recent_usage::KnownBoxes;
+use crate::fairness::recent_usage::ObservedBoxes;
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
 use crate::kind::{PolicyKind, PoolSettings};
@@ -62,7 +62,7 @@
     /// Streams of each box that hold a permit.
     pub(crate) streams_by_box: HashMap<BoxId, usize>,
     /// The boxes whose recent use it charged itself, and since when.
-    pub(crate) known: KnownBoxes,
+    pub(crate) known: ObservedBoxes,
     pub(crate) usage: Usage,
 }
 
@@ -93,7 +93,7 @@
             remembered_ms: 0,
             heard_ms: HashMap::new(),
             streams_by_box: HashMap::new(),
-            known: KnownBoxes::default(),
+            known: ObservedBoxes::default(),
             usage: Usage::default(),
             settings,
         }
@@ -113,29 +113,30 @@
     fn take_in(&mut self, mut demand: Demand, was_let_wait: bool, now_ms: u64) -> Submitted {
         self.now_ms = self.now_ms.max(now_ms);
         self.heard_ms.insert(demand.permit.entry, now_ms);
-        self.known.heard(demand.permit.entry, now_ms);
-        self.tree.pass(now_ms);
+        self.known.record_contact(demand.permit.entry, now_ms);
+        self.tree.advance(now_ms);
         if self.by_permit.contains_key(&demand.permit) || self.queue.contains(demand.permit) {
             return Submitted::Waits { place: 0 };
         }
         if !self.settings.ranks {
             demand.rank = demand.rank.min(1);
         }
-        self.tree.asks(&demand.share, demand.prompt_tokens);
+        self.tree
+            .record_arrival(&demand.share, demand.prompt_tokens);
         let forecast = demand_forecast(&self.lengths, &demand, self.settings.policy);
         let need = Need::of(&forecast);
         let refusal = self.refusal(&demand, &need, now_ms);
         if let Some(refusal) = refusal.filter(|_| !was_let_wait) {
-            if !self.tree.floods(&demand.share) {
-                self.tree.others_wait(now_ms);
+            if !self.tree.is_flooding(&demand.share) {
+                self.tree.record_non_flooding_wait(now_ms);
             }
-            self.usage.refused(&demand);
+            self.usage.record_refusal(&demand);
             return Submitted::Refused(refusal);
         }
         let place = self.queue.len() as u32;
         // Before it counts as waiting: the time before it came says nothing of the pace.
         self.pass(now_ms);
-        self.tree.waits(&demand.share);
+        self.tree.add_waiting(&demand.share);
         let begins_by_ms = self.waits_until_ms(&demand);
         self.queue.push(demand, begins_by_ms, need);
         Submitted::Waits { place }
@@ -145,7 +146,7 @@
     pub fn withdraw(&mut self, permit: PermitId) {
         if let Some(demand) = self.queue.remove(permit) {
             self.outlook.errors.left(permit);
-            self.tree.leaves(&demand.share);
+            self.tree.remove_waiting(&demand.share);
         } else {
             self.release(permit, 0, End::Censored);
         }
@@ -154,14 +155,14 @@
     /// Grants what fits and refuses what waited too long.
     pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         self.now_ms = self.now_ms.max(now_ms);
-        self.tree.pass(now_ms);
+        self.tree.advance(now_ms);
         self.pace.pass(self.queue.len() > 0, now_ms);
         self.pass(now_ms);
         let mut verdicts = self.expire(now_ms);
         self.keep_past(now_ms);
         self.decay_margin(now_ms);
         if self.queue.others_wait(&self.tree, now_ms) {
-            self.tree.others_wait(now_ms);
+            self.tree.record_non_flooding_wait(now_ms);
         }
         let mut passed = HashSet::new();
         let mut waits = None;
@@ -230,9 +231,9 @@
         {
             self.grants.pop_front();
         }
-        self.tree.runs(&demand.share);
-        self.tree.leaves(&demand.share);
-        self.usage.granted(&demand);
+        self.tree.add_running(&demand.share);
+        self.tree.remove_waiting(&demand.share);
+        self.usage.record_grant(&demand);
         let read_ms = f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms();
         self.tree.charge(&demand.share, read_ms);
         if let Some((prefix, _)) = demand.prefix {
@@ -269,7 +270,7 @@
         };
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
         let held_tokens = f64::from(prompt_tokens + generated_tokens);
-        self.tree.holds(&stream.share, held_tokens);
+        self.tree.adjust_tokens_in_use(&stream.share, held_tokens);
         self.outlook.room.placed(&forecast);
         *self.streams_by_box.entry(permit.entry).or_default() += 1;
         let key = self.streams.insert(stream);
@@ -305,7 +306,7 @@
 
 fn fair_tree(settings: &PoolSettings) -> FairTree {
     let mut tree = FairTree::default();
-    tree.set_orders(settings.fair);
+    tree.set_enabled(settings.fair);
     tree
 }
 
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -20,7 +20,7 @@
     pub fn progress(&mut self, permit: PermitId, tokens: u32, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
         self.heard_ms.insert(permit.entry, now_ms);
-        self.known.heard(permit.entry, now_ms);
+        self.known.record_contact(permit.entry, now_ms);
         let Some(key) = self.by_permit.get(&permit).copied() else {
             return false;
         };
@@ -44,7 +44,8 @@
             self.tokens_per_ms += PACE_WEIGHT * (pace - self.tokens_per_ms);
         }
         self.learn(class, before, tokens, None);
-        self.tree.holds(&share, f64::from(tokens - before));
+        self.tree
+            .adjust_tokens_in_use(&share, f64::from(tokens - before));
         true
     }
 
@@ -68,8 +69,9 @@
         self.engines.remove_stream(stream.target, key, now_ms);
         self.learn(stream.class, before, tokens, Some(end));
         let held_tokens = stream.prompt_tokens + before;
-        self.tree.holds(&stream.share, -f64::from(held_tokens));
-        self.tree.ends(&stream.share);
+        self.tree
+            .adjust_tokens_in_use(&stream.share, -f64::from(held_tokens));
+        self.tree.remove_running(&stream.share);
     }
 
     /// Notes that an engine has read the prompt of a stream.
