--- a/components/policy/src/admission/coming.rs
+++ b/components/policy/src/admission/arrivals.rs
@@ -1,8 +1,8 @@
 //! What comes: by rank, how many requests came lately, and what they hold. It tells how much room those that are more
 //! urgent will take before a request that waits is served.
 
-use crate::admission::outlook::Need;
-use crate::admission::room_ahead::Curve;
+use crate::admission::forecast::MemoryNeed;
+use crate::admission::memory_forecast::TokensByHorizon;
 use crate::demand::{Demand, RANKS};
 
 /// Time after which an arrival counts half: a burst shows within a second, and is forgotten some seconds after it.
@@ -10,9 +10,9 @@
 
 /// What came lately of one rank, as sums in which older requests count less.
 #[derive(Clone, Copy, Debug, Default)]
-struct RankComing {
+struct RankArrivals {
     /// Mean memory that they hold until each point in time.
-    held: Curve,
+    held: TokensByHorizon,
     /// The most memory that each holds at any time.
     peak_tokens: f64,
     requests: f64,
@@ -20,7 +20,7 @@
     seen_ms: u64,
 }
 
-impl RankComing {
+impl RankArrivals {
     fn fade(&self, now_ms: u64) -> f64 {
         (-(now_ms.saturating_sub(self.seen_ms) as f64) / HALF_LIFE_MS).exp2()
     }
@@ -28,13 +28,13 @@
 
 /// What came lately of each rank.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Coming {
-    ranks: [RankComing; RANKS],
+pub(crate) struct Arrivals {
+    ranks: [RankArrivals; RANKS],
 }
 
-impl Coming {
+impl Arrivals {
     /// Notes that a request came.
-    pub fn came(&mut self, demand: &Demand, need: &Need, now_ms: u64) {
+    pub fn came(&mut self, demand: &Demand, need: &MemoryNeed, now_ms: u64) {
         let coming = &mut self.ranks[usize::from(demand.rank_in_use())];
         let fade = coming.fade(now_ms);
         for (sum, held) in coming.held.iter_mut().zip(need.held) {
@@ -77,8 +77,13 @@
     }
 
     /// Memory that requests more urgent than a rank, which have not come yet, hold at each point in time.
-    pub fn taken_before(&self, rank: u8, point_ms: impl Fn(usize) -> f64, now_ms: u64) -> Curve {
-        let mut taken = Curve::default();
+    pub fn taken_before(
+        &self,
+        rank: u8,
+        point_ms: impl Fn(usize) -> f64,
+        now_ms: u64,
+    ) -> TokensByHorizon {
+        let mut taken = TokensByHorizon::default();
         let whole_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
         for coming in &self.ranks[..usize::from(rank)] {
             let per_ms = coming.fade(now_ms) / whole_ms;
@@ -94,5 +99,5 @@
 }
 
 #[cfg(test)]
-#[path = "coming_tests.rs"]
+#[path = "arrivals_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/coming_tests.rs
+++ b/components/policy/src/admission/arrivals_tests.rs
@@ -1,20 +1,20 @@
 use super::*;
-use crate::admission::room_ahead::HORIZONS;
+use crate::admission::memory_forecast::HORIZONS;
 use crate::admission::test_demands::demand;
 
 const POINT_MS: [f64; HORIZONS] = [100.0; HORIZONS];
 
-fn need(tokens: f64) -> Need {
-    Need {
+fn need(tokens: f64) -> MemoryNeed {
+    MemoryNeed {
         peak_tokens: tokens,
         held: [tokens; HORIZONS],
-        ..Need::default()
+        ..MemoryNeed::default()
     }
 }
 
 /// One request of a rank each 10 ms for 3 s.
-fn steady(rank: u8) -> Coming {
-    let mut coming = Coming::default();
+fn steady(rank: u8) -> Arrivals {
+    let mut coming = Arrivals::default();
     for serial in 0..300 {
         coming.came(&demand(serial, 1, rank), &need(500.0), serial * 10);
     }
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/first_token.rs
@@ -10,9 +10,9 @@
 //! Load patterns that this answers: a burst while a third of the engines is evacuated, prompts that are suddenly twice
 //! as long, a flood of requests that are less urgent than the others.
 
-use crate::admission::forward::{ForwardRun, Reader};
-use crate::admission::outlook::{Before, Need};
-use crate::admission::returning::Returning;
+use crate::admission::forecast::{MemoryNeed, QueueAhead};
+use crate::admission::pending_retries::PendingRetries;
+use crate::admission::prefill_simulation::{PrefillEngine, PrefillSimulation};
 use crate::demand::{Demand, Verdict};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
 use crate::pool::Pool;
@@ -68,7 +68,7 @@
     pub(crate) fn too_late(
         &mut self,
         demand: &Demand,
-        need: &Need,
+        need: &MemoryNeed,
         now_ms: u64,
     ) -> Option<Refusal> {
         self.look_ahead(now_ms);
@@ -97,7 +97,7 @@
         self.look_ahead(now_ms);
         let mut returning = std::mem::take(&mut self.outlook.returning);
         let mut run = self.run_forward(now_ms);
-        let mut before = Before::default();
+        let mut before = QueueAhead::default();
         let mut rank = 0;
         let mut verdicts = Vec::new();
         for (demand, need) in self.queue.in_order(&self.tree) {
@@ -132,11 +132,11 @@
     /// A refusal with the time after which a request would be served, behind those who were told to come back before it.
     fn crowded(
         &self,
-        mut run: ForwardRun,
+        mut run: PrefillSimulation,
         demand: &Demand,
-        need: &Need,
-        mut before: Before,
-        returning: &mut Returning,
+        need: &MemoryNeed,
+        mut before: QueueAhead,
+        returning: &mut PendingRetries,
     ) -> Refusal {
         let now_ms = self.now_ms;
         let floods = self.tree.is_flooding(&demand.share);
@@ -177,10 +177,10 @@
     /// When the first token of a request comes that goes next, behind what goes before it.
     fn first_token(
         &self,
-        run: &ForwardRun,
+        run: &PrefillSimulation,
         demand: &Demand,
-        need: &Need,
-        before: &Before,
+        need: &MemoryNeed,
+        before: &QueueAhead,
         now_ms: u64,
     ) -> Option<FirstToken> {
         let rank = demand.rank_in_use();
@@ -213,7 +213,7 @@
     }
 
     /// How many times longer a request waits to be read because more urgent ones come meanwhile.
-    fn held_up(&self, run: &ForwardRun, rank: u8, now_ms: u64) -> f64 {
+    fn held_up(&self, run: &PrefillSimulation, rank: u8, now_ms: u64) -> f64 {
         if !self.counts_what_comes() {
             return 1.0;
         }
@@ -240,11 +240,11 @@
         f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms()
     }
 
-    fn run_forward(&self, now_ms: u64) -> ForwardRun {
+    fn run_forward(&self, now_ms: u64) -> PrefillSimulation {
         let takes = |ledger: &&EngineLedger| {
             ledger.state == EngineState::Live && ledger.bears_one_more(now_ms)
         };
-        let reader = |ledger: &EngineLedger| Reader {
+        let reader = |ledger: &EngineLedger| PrefillEngine {
             left_ms: ledger.reading.left_ms(&self.reading_rate, now_ms),
             tokens_per_ms: ledger.reading.rate(&self.reading_rate),
         };
@@ -259,7 +259,7 @@
                 break;
             }
         }
-        ForwardRun::new(&readers)
+        PrefillSimulation::new(&readers)
     }
 }
 
@@ -269,5 +269,5 @@
 }
 
 #[cfg(test)]
-#[path = "waiting_tests.rs"]
+#[path = "first_token_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/grant_pace.rs
+++ b/components/policy/src/admission/grant_rate.rs
@@ -8,13 +8,13 @@
 
 /// Grants, and the time in which requests waited for them, both fading.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct GrantPace {
+pub(crate) struct GrantRate {
     grants: f64,
     waited_ms: f64,
     seen_ms: u64,
 }
 
-impl GrantPace {
+impl GrantRate {
     /// Notes that since the last call requests waited, or none did.
     pub fn pass(&mut self, waiting: bool, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.seen_ms) as f64;
@@ -39,5 +39,5 @@
 }
 
 #[cfg(test)]
-#[path = "grant_pace_tests.rs"]
+#[path = "grant_rate_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/grant_pace_tests.rs
+++ b/components/policy/src/admission/grant_rate_tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn does_not_take_quiet_time_for_slowness() {
-    let mut pace = GrantPace::default();
+    let mut pace = GrantRate::default();
     for at_ms in (0..10_000).step_by(10) {
         let waiting = at_ms % 100 < 50;
         pace.pass(waiting, at_ms);
@@ -16,7 +16,7 @@
 
 #[test]
 fn forgets_a_slow_time() {
-    let mut pace = GrantPace::default();
+    let mut pace = GrantRate::default();
     for at_ms in (0..20_000).step_by(1000) {
         pace.pass(true, at_ms);
         pace.granted();
--- a/components/policy/src/admission/room_ahead.rs
+++ b/components/policy/src/admission/memory_forecast.rs
@@ -1,7 +1,7 @@
 //! Memory run forward: how much of it the engines will have free, by the lengths of what runs, and when a request will
 //! find room behind those that go before it.
 
-use crate::admission::outlook::Need;
+use crate::admission::forecast::MemoryNeed;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
 
@@ -14,19 +14,19 @@
 const HELD_LEAST_SHARE: f64 = 0.05;
 
 /// Memory in tokens at each point in time.
-pub(crate) type Curve = [f64; HORIZONS];
+pub(crate) type TokensByHorizon = [f64; HORIZONS];
 
 /// The memory that the engines will have free.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RoomAhead {
+pub(crate) struct MemoryForecast {
     /// Free memory at each point, over all engines that take work.
-    free_tokens: Curve,
+    free_tokens: TokensByHorizon,
     /// When each point is, from now.
-    at_ms: Curve,
+    at_ms: TokensByHorizon,
     looked_ms: Option<u64>,
 }
 
-impl RoomAhead {
+impl MemoryForecast {
     /// Whether it must be looked at anew.
     pub fn is_stale(&self, now_ms: u64) -> bool {
         self.looked_ms
@@ -41,7 +41,7 @@
         usual_tokens: f64,
     ) {
         let pace = view.tokens_per_ms.max(f64::MIN_POSITIVE);
-        self.free_tokens = Curve::default();
+        self.free_tokens = TokensByHorizon::default();
         self.at_ms = HORIZONS_TOKENS.map(|tokens| f64::from(tokens) / pace);
         self.looked_ms = Some(view.now_ms);
         for ledger in engines {
@@ -65,7 +65,7 @@
 
     /// Time from now until there is room for a need beside what others take, interpolated between points; that of the last
     /// point where there never is. From the points on at which the request has nearly always ended it needs nothing.
-    pub fn free_in_ms(&self, need: &Need, taken: impl Fn(usize) -> f64) -> f64 {
+    pub fn free_in_ms(&self, need: &MemoryNeed, taken: impl Fn(usize) -> f64) -> f64 {
         let least = need.peak_tokens * HELD_LEAST_SHARE;
         let mut before: Option<(f64, f64)> = None;
         for at in 0..HORIZONS {
@@ -106,8 +106,8 @@
 }
 
 /// Memory that requests hold on the mean from now until each point, where they begin evenly over that time.
-pub(crate) fn held_until(forecast: &Forecast) -> Curve {
-    let mut held = Curve::default();
+pub(crate) fn held_until(forecast: &Forecast) -> TokensByHorizon {
+    let mut held = TokensByHorizon::default();
     let (mut area, mut last) = (0.0, 0.0);
     for (at, horizon) in HORIZONS_TOKENS.iter().enumerate() {
         let horizon = f64::from(*horizon);
@@ -121,5 +121,5 @@
 }
 
 #[cfg(test)]
-#[path = "room_ahead_tests.rs"]
+#[path = "memory_forecast_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/room_ahead_tests.rs
+++ b/components/policy/src/admission/memory_forecast_tests.rs
@@ -5,8 +5,8 @@
 use prelude::{DataCentreId, TargetId};
 
 /// So much is free at first, and so much more at each point.
-fn room(first_tokens: f64, more_tokens: f64) -> RoomAhead {
-    let mut room = RoomAhead::default();
+fn room(first_tokens: f64, more_tokens: f64) -> MemoryForecast {
+    let mut room = MemoryForecast::default();
     for at in 0..HORIZONS {
         room.free_tokens[at] = first_tokens + more_tokens * at as f64;
         room.at_ms[at] = 100.0 * at as f64;
@@ -15,18 +15,18 @@
 }
 
 /// The same at any time.
-fn need(tokens: f64) -> Need {
-    Need {
+fn need(tokens: f64) -> MemoryNeed {
+    MemoryNeed {
         peak_tokens: tokens,
         mean: [tokens; HORIZONS],
-        ..Need::default()
+        ..MemoryNeed::default()
     }
 }
 
 #[test]
 fn what_ends_soon_fits_though_what_runs_will_grow() {
     let room = room(1_000.0, -100.0);
-    let short = Need {
+    let short = MemoryNeed {
         mean: [0.0; HORIZONS],
         ..need(900.0)
     };
@@ -86,7 +86,7 @@
         margin: 1.0,
         now_ms: 0,
     };
-    let mut room = RoomAhead::default();
+    let mut room = MemoryForecast::default();
     assert!(room.is_stale(0));
     room.look(engines.iter_mut(), &view, 2_000.0);
     assert_eq!(room.free_at(0), 4_000.0);
--- a/components/policy/src/admission/mod.rs
+++ b/components/policy/src/admission/mod.rs
@@ -1,17 +1,17 @@
 //! Who waits, in which order, and who is refused.
 
-pub(crate) mod coming;
+pub(crate) mod arrivals;
+pub(crate) mod first_token;
+pub(crate) mod forecast;
 pub(crate) mod forecast_error;
-pub(crate) mod forward;
-pub(crate) mod grant_pace;
-pub(crate) mod outlook;
-pub(crate) mod protection;
+pub(crate) mod grant_rate;
+pub(crate) mod memory_forecast;
+pub(crate) mod pending_retries;
+pub(crate) mod prefill_reserve;
+pub(crate) mod prefill_simulation;
 pub(crate) mod queue;
-pub(crate) mod rate;
+pub(crate) mod rate_limit;
 pub(crate) mod refusal;
-pub(crate) mod returning;
-pub(crate) mod room_ahead;
-pub(crate) mod waiting;
 
 #[cfg(test)]
 pub(crate) mod test_demands;
--- a/components/policy/src/admission/returning.rs
+++ b/components/policy/src/admission/pending_retries.rs
@@ -1,8 +1,8 @@
 //! Callers that were refused and told when to come back. Their room counts as taken when the next one is told a time, so
 //! that those who come back find room and don't come together.
 
-use crate::admission::forward::ForwardRun;
-use crate::admission::outlook::{Before, Need};
+use crate::admission::forecast::{MemoryNeed, QueueAhead};
+use crate::admission::prefill_simulation::PrefillSimulation;
 use crate::demand::Demand;
 use std::collections::VecDeque;
 
@@ -16,18 +16,18 @@
     /// Whether its account floods, and its rank.
     turn: (bool, u8),
     prompt_tokens: u32,
-    need: Need,
+    need: MemoryNeed,
 }
 
 /// Callers that will come back.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Returning {
+pub(crate) struct PendingRetries {
     callers: VecDeque<Caller>,
 }
 
-impl Returning {
+impl PendingRetries {
     /// Notes when a caller was told to come back.
-    pub fn told(&mut self, demand: &Demand, need: &Need, floods: bool, back_ms: u64) {
+    pub fn told(&mut self, demand: &Demand, need: &MemoryNeed, floods: bool, back_ms: u64) {
         if self.callers.len() >= KEPT_MOST {
             self.callers.pop_front();
         }
@@ -44,8 +44,8 @@
     /// of accounts that flood only to what goes before their like.
     pub fn add_to(
         &mut self,
-        before: &mut Before,
-        run: &mut ForwardRun,
+        before: &mut QueueAhead,
+        run: &mut PrefillSimulation,
         turn: (bool, u8),
         now_ms: u64,
     ) {
@@ -58,5 +58,5 @@
 }
 
 #[cfg(test)]
-#[path = "returning_tests.rs"]
+#[path = "pending_retries_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/protection.rs
+++ b/components/policy/src/admission/prefill_reserve.rs
@@ -6,7 +6,7 @@
 //!
 //! Nothing is kept where nothing else comes: what came is forgotten by half within a second.
 
-use crate::admission::queue::Place;
+use crate::admission::queue::QueueKey;
 use crate::demand::{Demand, RANKS};
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::Pool;
@@ -20,7 +20,7 @@
 
 impl Pool {
     /// Whether the first request of a place leaves enough engines free to read for what is likely to come and goes first.
-    pub(crate) fn leaves_reading(&self, place: Place, now_ms: u64) -> bool {
+    pub(crate) fn leaves_reading(&self, place: QueueKey, now_ms: u64) -> bool {
         let Some(demand) = self.queue.front(place) else {
             return true;
         };
@@ -39,7 +39,7 @@
     }
 
     /// Whether a place is of an account that floods and asks for more than all others.
-    pub(crate) fn outweighs_others(&self, place: Place) -> bool {
+    pub(crate) fn outweighs_others(&self, place: QueueKey) -> bool {
         let front = self.queue.front(place);
         front.is_some_and(|demand| self.tree.has_dominant_demand(&demand.share))
     }
@@ -59,5 +59,5 @@
 }
 
 #[cfg(test)]
-#[path = "protection_tests.rs"]
+#[path = "prefill_reserve_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/protection_tests.rs
+++ b/components/policy/src/admission/prefill_reserve_tests.rs
@@ -1,4 +1,4 @@
-use crate::admission::outlook::Need;
+use crate::admission::forecast::MemoryNeed;
 use crate::admission::test_demands::demand;
 use crate::placement::ledger::EngineInfo;
 use crate::{Demand, Pool, PoolSettings, Verdict};
@@ -97,7 +97,7 @@
         deadline_ms,
         ..request(11, 2, 100, 1_000)
     };
-    let (urgent_need, short_need) = (Need::default(), Need::default());
+    let (urgent_need, short_need) = (MemoryNeed::default(), MemoryNeed::default());
     pool.queue.push(urgent, 9_000, urgent_need);
     pool.queue
         .push(short.clone(), short.deadline_ms - 20, short_need);
--- a/components/policy/src/admission/forward.rs
+++ b/components/policy/src/admission/prefill_simulation.rs
@@ -6,7 +6,7 @@
 
 /// An engine that reads prompts.
 #[derive(Clone, Copy, Debug)]
-pub struct Reader {
+pub struct PrefillEngine {
     /// Time until it has read what it was sent.
     pub left_ms: f64,
     /// Tokens that it reads in a millisecond.
@@ -20,14 +20,14 @@
 
 /// A look-ahead simulation of the engines, as they read one prompt after another.
 #[derive(Clone, Debug)]
-pub struct ForwardRun {
+pub struct PrefillSimulation {
     rates: Vec<f64>,
     free: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
-impl ForwardRun {
+impl PrefillSimulation {
     /// The engines as they are now.
-    pub fn new(readers: &[Reader]) -> Self {
+    pub fn new(readers: &[PrefillEngine]) -> Self {
         let free = readers.iter().enumerate();
         Self {
             rates: readers.iter().map(|reader| reader.tokens_per_ms).collect(),
@@ -59,5 +59,5 @@
 }
 
 #[cfg(test)]
-#[path = "forward_tests.rs"]
+#[path = "prefill_simulation_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -6,8 +6,8 @@
 //! least goes first. Within an account the request whose caller leaves first goes first, then the one that has to begin first: a
 //! caller that came back after a refusal has the least time left, and a second refusal is mostly final.
 
-use crate::admission::forward::ForwardRun;
-use crate::admission::outlook::{Before, Need};
+use crate::admission::forecast::{MemoryNeed, QueueAhead};
+use crate::admission::prefill_simulation::PrefillSimulation;
 use crate::demand::{Demand, RANKS};
 use crate::fairness::tree::{FairTree, Share};
 use prelude::{AccountId, PermitId};
@@ -22,12 +22,12 @@
 
 /// A line of the queue: the requests of one account and rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Place {
+pub(crate) struct QueueKey {
     account: AccountId,
     rank: u8,
 }
 
-impl Place {
+impl QueueKey {
     fn of(demand: &Demand) -> Self {
         Self {
             account: demand.share.account,
@@ -43,7 +43,7 @@
     /// When it must begin to be read at the latest.
     begins_by_ms: u64,
     /// The memory that it needs.
-    need: Need,
+    need: MemoryNeed,
 }
 
 impl Waiting {
@@ -61,7 +61,7 @@
 /// All requests that wait.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    lines: BTreeMap<Place, VecDeque<Waiting>>,
+    lines: BTreeMap<QueueKey, VecDeque<Waiting>>,
     len: usize,
     grants_since_turn: u32,
 }
@@ -110,8 +110,8 @@
 
     /// Adds a request, whose prompt must begin to be read by `begins_by_ms`, to its line: by when callers leave, then by when
     /// they must begin, then by when they came, as boxes ask a new dispatcher in any order.
-    pub fn push(&mut self, demand: Demand, begins_by_ms: u64, need: Need) {
-        let line = self.lines.entry(Place::of(&demand)).or_default();
+    pub fn push(&mut self, demand: Demand, begins_by_ms: u64, need: MemoryNeed) {
+        let line = self.lines.entry(QueueKey::of(&demand)).or_default();
         let waiting = Waiting {
             demand,
             begins_by_ms,
@@ -124,8 +124,13 @@
     }
 
     /// The next place to serve that is not among `passed`.
-    pub fn next(&self, tree: &FairTree, passed: &HashSet<Place>, now_ms: u64) -> Option<Place> {
-        let mut best: Option<(Order, Place)> = None;
+    pub fn next(
+        &self,
+        tree: &FairTree,
+        passed: &HashSet<QueueKey>,
+        now_ms: u64,
+    ) -> Option<QueueKey> {
+        let mut best: Option<(Order, QueueKey)> = None;
         for (place, line) in &self.lines {
             let Some(front) = line.front().filter(|_| !passed.contains(place)) else {
                 continue;
@@ -155,14 +160,14 @@
     }
 
     /// Whether a request goes before those that are more urgent.
-    fn has_turn(&self, place: Place, front: &Waiting, now_ms: u64) -> bool {
+    fn has_turn(&self, place: QueueKey, front: &Waiting, now_ms: u64) -> bool {
         let is_due = front.begins_by_ms <= now_ms + DUE_AHEAD_MS;
         is_due && self.grants_since_turn + 1 >= GRANTS_PER_TURN && self.is_behind(place.rank)
     }
 
     /// Whether a place leaves room to a more urgent one that fits nowhere yet: it takes no hole that would become large
     /// enough. Not where it would miss its own goal.
-    pub fn gives_way(&self, place: Place, to: Option<Place>, now_ms: u64) -> bool {
+    pub fn gives_way(&self, place: QueueKey, to: Option<QueueKey>, now_ms: u64) -> bool {
         let front = self.lines.get(&place).and_then(VecDeque::front);
         let is_due = front.is_some_and(|front| front.begins_by_ms <= now_ms + DUE_AHEAD_MS);
         !is_due && to.is_some_and(|to| to.rank < place.rank)
@@ -181,12 +186,12 @@
         })
     }
 
-    pub fn front(&self, place: Place) -> Option<&Demand> {
+    pub fn front(&self, place: QueueKey) -> Option<&Demand> {
         Some(&self.lines.get(&place)?.front()?.demand)
     }
 
     /// All requests that wait, in the order in which they are about to be served, with the memory that each needs.
-    pub fn in_order(&self, tree: &FairTree) -> Vec<(&Demand, &Need)> {
+    pub fn in_order(&self, tree: &FairTree) -> Vec<(&Demand, &MemoryNeed)> {
         let mut waiting: Vec<(bool, &Waiting)> = Vec::with_capacity(self.len);
         for line in self.lines.values() {
             let floods = line
@@ -210,10 +215,10 @@
         demand: &Demand,
         begins_by_ms: u64,
         tree: &FairTree,
-        run: &mut ForwardRun,
-    ) -> Before {
+        run: &mut PrefillSimulation,
+    ) -> QueueAhead {
         let rank = demand.rank_in_use();
-        let mut before = Before::default();
+        let mut before = QueueAhead::default();
         for other in self.ahead(demand, begins_by_ms, tree) {
             before.add(&other.demand, &other.need, rank);
             run.read(other.demand.prompt_tokens);
@@ -252,14 +257,14 @@
     }
 
     /// How many requests of a place have waited since `since_ms` or longer, counted up to `most`.
-    pub fn count_since(&self, place: Place, since_ms: u64, most: usize) -> usize {
+    pub fn count_since(&self, place: QueueKey, since_ms: u64, most: usize) -> usize {
         let line = self.lines.get(&place).into_iter().flatten().take(most);
         line.filter(|waiting| waiting.demand.since_ms <= since_ms)
             .count()
     }
 
     /// Takes the first request of a place for a grant.
-    pub fn pop(&mut self, place: Place, now_ms: u64) -> Option<Demand> {
+    pub fn pop(&mut self, place: QueueKey, now_ms: u64) -> Option<Demand> {
         let front = self.lines.get(&place)?.front()?;
         let has_turn = self.has_turn(place, front, now_ms);
         let line = self.lines.get_mut(&place)?;
--- a/components/policy/src/admission/queue_tests.rs
+++ b/components/policy/src/admission/queue_tests.rs
@@ -19,7 +19,7 @@
         queue.push(
             demand(u64::from(rank), u64::from(rank) % 3, rank),
             5_000,
-            Need::default(),
+            MemoryNeed::default(),
         );
     }
     assert_eq!(granted(&mut queue, 0), [0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
@@ -28,8 +28,8 @@
 #[test]
 fn a_rank_that_is_not_known_counts_as_the_least_urgent() {
     let mut queue = Queue::default();
-    queue.push(demand(1, 1, 200), 5_000, Need::default());
-    queue.push(demand(2, 1, 8), 5_000, Need::default());
+    queue.push(demand(1, 1, 200), 5_000, MemoryNeed::default());
+    queue.push(demand(2, 1, 8), 5_000, MemoryNeed::default());
     assert_eq!(granted(&mut queue, 0), [2, 1]);
 }
 
@@ -37,7 +37,7 @@
 fn who_has_a_longer_goal_waits_longer_within_a_rank() {
     let mut queue = Queue::default();
     for (serial, begins_by_ms) in [(1, 3_900), (2, 1_400), (3, 2_000)] {
-        queue.push(demand(serial, 1, 4), begins_by_ms, Need::default());
+        queue.push(demand(serial, 1, 4), begins_by_ms, MemoryNeed::default());
     }
     assert_eq!(granted(&mut queue, 0), [2, 3, 1]);
 }
@@ -46,9 +46,9 @@
 fn who_comes_back_too_early_goes_behind_those_who_waited() {
     let mut queue = Queue::default();
     // Refused, and back at once: the goal runs anew, so that it must begin later than who came before.
-    queue.push(demand(1, 1, 0), 1_300, Need::default());
-    queue.push(demand(2, 1, 0), 1_100, Need::default());
-    queue.push(demand(3, 1, 0), 1_200, Need::default());
+    queue.push(demand(1, 1, 0), 1_300, MemoryNeed::default());
+    queue.push(demand(2, 1, 0), 1_100, MemoryNeed::default());
+    queue.push(demand(3, 1, 0), 1_200, MemoryNeed::default());
     assert_eq!(granted(&mut queue, 0), [2, 3, 1]);
 }
 
@@ -60,9 +60,9 @@
     #[case] before: usize,
 ) {
     let mut queue = Queue::default();
-    queue.push(demand(99, 2, 9), begins_by_ms, Need::default());
+    queue.push(demand(99, 2, 9), begins_by_ms, MemoryNeed::default());
     for serial in 0..20 {
-        queue.push(demand(serial, 1, 0), 5_000, Need::default());
+        queue.push(demand(serial, 1, 0), 5_000, MemoryNeed::default());
     }
     let order = granted(&mut queue, 100);
     assert_eq!(order.iter().position(|serial| *serial == 99), Some(before));
@@ -72,8 +72,8 @@
 fn one_grant_in_ten_at_most_goes_to_what_is_less_urgent() {
     let mut queue = Queue::default();
     for serial in 0..100 {
-        queue.push(demand(serial, 1, 0), 5_000, Need::default());
-        queue.push(demand(1_000 + serial, 2, 3), 0, Need::default());
+        queue.push(demand(serial, 1, 0), 5_000, MemoryNeed::default());
+        queue.push(demand(1_000 + serial, 2, 3), 0, MemoryNeed::default());
     }
     let first = granted(&mut queue, 100);
     let less_urgent = first[..100].iter().filter(|serial| **serial >= 1_000);
@@ -89,8 +89,8 @@
         tree.add_waiting(share);
     }
     tree.charge(&served.share, 1_000.0);
-    queue.push(served, 0, Need::default());
-    queue.push(other, 5_000, Need::default());
+    queue.push(served, 0, MemoryNeed::default());
+    queue.push(other, 5_000, MemoryNeed::default());
     queue.grants_since_turn = 100;
     let place = queue.next(&tree, &HashSet::new(), 100).unwrap();
     assert_eq!(queue.front(place).unwrap().permit.serial, 2);
@@ -103,7 +103,7 @@
         queue.push(
             demand(serial, serial % 2, (serial / 2) as u8),
             5_000,
-            Need::default(),
+            MemoryNeed::default(),
         );
     }
     assert!(queue.contains(demand(3, 1, 1).permit));
--- a/components/policy/src/admission/rate.rs
+++ b/components/policy/src/admission/rate_limit.rs
@@ -39,5 +39,5 @@
 }
 
 #[cfg(test)]
-#[path = "rate_tests.rs"]
+#[path = "rate_limit_tests.rs"]
 mod tests;
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -1,6 +1,6 @@
 //! Which requests are refused: at once where they would wait too long, or when their deadline passes.
 
-use crate::admission::outlook::Need;
+use crate::admission::forecast::MemoryNeed;
 use crate::demand::{Demand, Verdict};
 use crate::kind::WaitingPolicy;
 use crate::pool::Pool;
@@ -14,7 +14,12 @@
 
 impl Pool {
     /// Why a request that just came must be refused, if it must.
-    pub(crate) fn refusal(&mut self, demand: &Demand, need: &Need, now_ms: u64) -> Option<Refusal> {
+    pub(crate) fn refusal(
+        &mut self,
+        demand: &Demand,
+        need: &MemoryNeed,
+        now_ms: u64,
+    ) -> Option<Refusal> {
         let Some(largest) = self.engines.largest_tokens() else {
             return Some(Refusal {
                 reason: RefusalReason::NoTarget,
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -1,7 +1,7 @@
 //! Boxes that hold permits: what a dispatcher that is new to its role is told of theirs, and what becomes of the
 //! permits of those that fall silent.
 
-use crate::admission::grant_pace::GrantPace;
+use crate::admission::grant_rate::GrantRate;
 use crate::demand::{Adopted, RANKS};
 use crate::placement::ledger::Stream;
 use crate::placement::length::End;
@@ -36,8 +36,8 @@
 
     /// Forgets how fast requests were granted: they waited at another dispatcher.
     pub fn forget_grant_pace(&mut self) {
-        self.pace = GrantPace::default();
-        self.paces = [GrantPace::default(); RANKS];
+        self.pace = GrantRate::default();
+        self.paces = [GrantRate::default(); RANKS];
     }
 
     /// Drops the permits of a box that are not among those it says it has, but for those that it may not have heard of yet.
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -1,6 +1,6 @@
 //! Which engine a request of a pool goes to, and which are kept for those that have waited too long.
 
-use crate::admission::queue::Place;
+use crate::admission::queue::QueueKey;
 use crate::demand::Demand;
 use crate::kind::ReadingPolicy;
 use crate::pace::felt::{PauseView, Pausing, expected_tokens};
@@ -20,7 +20,7 @@
 
 impl Pool {
     /// The engine for the first request of a place. Engines in `reserved` are kept for others.
-    pub(crate) fn choose(&mut self, place: Place, now_ms: u64, reserved: &[TargetId]) -> Choice {
+    pub(crate) fn choose(&mut self, place: QueueKey, now_ms: u64, reserved: &[TargetId]) -> Choice {
         let Some(demand) = self.queue.front(place) else {
             return Choice::default();
         };
@@ -110,7 +110,7 @@
     /// of engines that may be kept: those that are nearest to having room.
     pub(crate) fn reserve(
         &self,
-        place: Place,
+        place: QueueKey,
         nearest: &[TargetId],
         reserved: &mut Vec<TargetId>,
         now_ms: u64,
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -2,8 +2,8 @@
 //! it is wrong, or when two boxes each believe that they dispatch, an engine preempts; nothing is lost
 //! or doubled.
 
-use crate::admission::grant_pace::GrantPace;
-use crate::admission::outlook::{Need, Outlook};
+use crate::admission::forecast::{AdmissionForecast, MemoryNeed};
+use crate::admission::grant_rate::GrantRate;
 use crate::admission::queue::Queue;
 use crate::demand::{Demand, RANKS, Submitted, Verdict};
 use crate::fairness::recent_usage::ObservedBoxes;
@@ -39,7 +39,7 @@
     pub(crate) streams: Streams,
     pub(crate) by_permit: HashMap<PermitId, StreamKey>,
     pub(crate) queue: Queue,
-    pub(crate) outlook: Outlook,
+    pub(crate) outlook: AdmissionForecast,
     pub(crate) tree: FairTree,
     pub(crate) lengths: LengthModel,
     pub(crate) prefixes: PrefixIndex,
@@ -51,9 +51,9 @@
     /// The latest time that it was given: it reads no clock.
     pub(crate) now_ms: u64,
     pub(crate) grants: VecDeque<u64>,
-    pub(crate) pace: GrantPace,
+    pub(crate) pace: GrantRate,
     /// The pace of grants by rank.
-    pub(crate) paces: [GrantPace; RANKS],
+    pub(crate) paces: [GrantRate; RANKS],
     /// When the first request came; grants wait for engines' reports from then on, but not for ever.
     pub(crate) began_ms: Option<u64>,
     pub(crate) expiry_ms: u64,
@@ -77,7 +77,7 @@
             by_permit: HashMap::new(),
             queue: Queue::default(),
             tree: fair_tree(&settings),
-            outlook: Outlook::default(),
+            outlook: AdmissionForecast::default(),
             lengths: LengthModel::default(),
             prefixes: PrefixIndex::default(),
             margin_ms: 0,
@@ -86,8 +86,8 @@
             pace_book: PaceBook::default(),
             now_ms: 0,
             grants: VecDeque::new(),
-            pace: GrantPace::default(),
-            paces: [GrantPace::default(); RANKS],
+            pace: GrantRate::default(),
+            paces: [GrantRate::default(); RANKS],
             began_ms: None,
             expiry_ms: 0,
             remembered_ms: 0,
@@ -124,7 +124,7 @@
         self.tree
             .record_arrival(&demand.share, demand.prompt_tokens);
         let forecast = demand_forecast(&self.lengths, &demand, self.settings.policy);
-        let need = Need::of(&forecast);
+        let need = MemoryNeed::of(&forecast);
         let refusal = self.refusal(&demand, &need, now_ms);
         if let Some(refusal) = refusal.filter(|_| !was_let_wait) {
             if !self.tree.is_flooding(&demand.share) {
