--- a/components/policy/src/admission/first_token.rs
+++ b/components/policy/src/admission/first_token.rs
@@ -46,10 +46,10 @@
 impl Pool {
     /// Looks at the memory that will come free, where that was not done just now.
     pub(crate) fn look_ahead(&mut self, now_ms: u64) {
-        if !self.settings.memory_ahead || !self.outlook.room.is_stale(now_ms) {
+        if !self.settings.memory_ahead || !self.outlook.memory.is_stale(now_ms) {
             return;
         }
-        let usual_tokens = self.outlook.coming.usual_tokens(now_ms);
+        let usual_tokens = self.outlook.arrivals.usual_tokens(now_ms);
         let view = RoomView {
             streams: &self.streams,
             lengths: &self.lengths,
@@ -59,8 +59,8 @@
             now_ms,
         };
         self.outlook
-            .room
-            .look(self.engines.iter_mut(), &view, usual_tokens);
+            .memory
+            .refresh(self.engines.iter_mut(), &view, usual_tokens);
     }
 
     /// Refusal of a request whose first token would come too late, with the time after which to come back. Otherwise its
@@ -73,19 +73,19 @@
     ) -> Option<Refusal> {
         self.look_ahead(now_ms);
         let mut run = self.run_forward(now_ms);
-        let begins_by_ms = self.waits_until_ms(demand);
+        let begins_by_ms = self.start_by_ms(demand);
         let before = self
             .queue
             .before(demand, begins_by_ms, &self.tree, &mut run);
         let first = self.first_token(&run, demand, need, &before, now_ms)?;
         if self.is_over(demand, first, now_ms) {
-            let mut returning = std::mem::take(&mut self.outlook.returning);
+            let mut returning = std::mem::take(&mut self.outlook.retries);
             let refusal = self.crowded(run, demand, need, before, &mut returning);
-            self.outlook.returning = returning;
+            self.outlook.retries = returning;
             return Some(refusal);
         }
         let errors = &mut self.outlook.errors;
-        errors.forecast(demand, first.forecast_ms, now_ms);
+        errors.record_forecast(demand, first.forecast_ms, now_ms);
         None
     }
 
@@ -95,7 +95,7 @@
             return Vec::new();
         }
         self.look_ahead(now_ms);
-        let mut returning = std::mem::take(&mut self.outlook.returning);
+        let mut returning = std::mem::take(&mut self.outlook.retries);
         let mut run = self.run_forward(now_ms);
         let mut before = QueueAhead::default();
         let mut rank = 0;
@@ -118,9 +118,9 @@
             run.read(demand.prompt_tokens);
             before.add(demand, need, rank);
         }
-        self.outlook.returning = returning;
+        self.outlook.retries = returning;
         for (permit, _) in &verdicts {
-            self.outlook.errors.left(*permit);
+            self.outlook.errors.forget(*permit);
             if let Some(demand) = self.queue.remove(*permit) {
                 self.usage.record_refusal(&demand);
                 self.tree.remove_waiting(&demand.share);
@@ -159,10 +159,10 @@
     }
 
     /// Until when a request waits: beyond that its prompt could not be read in time.
-    pub(crate) fn waits_until_ms(&self, demand: &Demand) -> u64 {
+    pub(crate) fn start_by_ms(&self, demand: &Demand) -> u64 {
         let latest_ms = demand
             .deadline_ms
-            .saturating_sub(self.read_ms(demand) as u64);
+            .saturating_sub(self.prefill_ms(demand) as u64);
         let least_ms = (whole_ms(demand) * WAIT_MIN_SHARE) as u64;
         latest_ms.max(demand.since_ms.saturating_add(least_ms))
     }
@@ -170,7 +170,7 @@
     /// Whether a first token comes too late, and not only because its own prompt is long.
     fn is_over(&self, demand: &Demand, first: FirstToken, now_ms: u64) -> bool {
         let left_ms = demand.deadline_ms.saturating_sub(now_ms) as f64;
-        let is_alone = first.forecast_ms <= self.read_ms(demand) * ALONE_TIMES;
+        let is_alone = first.forecast_ms <= self.prefill_ms(demand) * ALONE_TIMES;
         first.corrected_ms > left_ms && !is_alone
     }
 
@@ -184,7 +184,7 @@
         now_ms: u64,
     ) -> Option<FirstToken> {
         let rank = demand.rank_in_use();
-        let read_ms = self.read_ms(demand);
+        let read_ms = self.prefill_ms(demand);
         let alone_ms = run.first_token_ms(demand.prompt_tokens)?;
         let held_up = self.held_up(run, rank, now_ms);
         let by_reading_ms = read_ms + (alone_ms - read_ms).max(0.0) * held_up;
@@ -195,7 +195,7 @@
         let forecast_ms = by_reading_ms.max(granted_ms + read_ms);
         let corrects = self.settings.corrects_forecasts || self.settings.memory_ahead;
         let correction = match corrects {
-            true => self.outlook.errors.correction(rank, now_ms),
+            true => self.outlook.errors.correction_factor(rank, now_ms),
             false => 1.0,
         };
         Some(FirstToken {
@@ -208,8 +208,8 @@
     pub fn forecast_corrections(&self) -> impl Iterator<Item = (u8, f64)> + '_ {
         let errors = &self.outlook.errors;
         errors
-            .known()
-            .map(|rank| (rank, errors.correction(rank, self.now_ms)))
+            .known_ranks()
+            .map(|rank| (rank, errors.correction_factor(rank, self.now_ms)))
     }
 
     /// How many times longer a request waits to be read because more urgent ones come meanwhile.
@@ -217,7 +217,7 @@
         if !self.counts_what_comes() {
             return 1.0;
         }
-        let coming = &self.outlook.coming;
+        let coming = &self.outlook.arrivals;
         let urgent = coming.prompt_tokens_before(rank, now_ms) / run.tokens_per_ms();
         (1.0 - urgent.min(URGENT_SHARE_MOST)).recip()
     }
@@ -236,7 +236,7 @@
         pace.unwrap_or(0.0) * (same_rank + 1) as f64
     }
 
-    pub(crate) fn read_ms(&self, demand: &Demand) -> f64 {
+    pub(crate) fn prefill_ms(&self, demand: &Demand) -> f64 {
         f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms()
     }
 
--- a/components/policy/src/admission/forecast.rs
+++ b/components/policy/src/admission/forecast.rs
@@ -11,10 +11,10 @@
 /// What a pool expects.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionForecast {
-    pub room: MemoryForecast,
-    pub coming: Arrivals,
+    pub memory: MemoryForecast,
+    pub arrivals: Arrivals,
     pub errors: ForecastErrors,
-    pub returning: PendingRetries,
+    pub retries: PendingRetries,
 }
 
 /// The memory that a request needs.
@@ -73,9 +73,9 @@
         before: &QueueAhead,
         now_ms: u64,
     ) -> f64 {
-        let point_ms = |at| self.room.point_ms(at);
-        let coming = self.coming.taken_before(rank, point_ms, now_ms);
+        let point_ms = |at| self.memory.horizon_ms(at);
+        let coming = self.arrivals.taken_before(rank, point_ms, now_ms);
         let taken = |at: usize| before.held[at] + coming[at];
-        self.room.free_in_ms(need, taken)
+        self.memory.wait_ms(need, taken)
     }
 }
--- a/components/policy/src/admission/forecast_error.rs
+++ b/components/policy/src/admission/forecast_error.rs
@@ -41,7 +41,7 @@
 
 impl ForecastErrors {
     /// Notes what was forecast, uncorrected, when a request came.
-    pub fn forecast(&mut self, demand: &Demand, forecast_ms: f64, now_ms: u64) {
+    pub fn record_forecast(&mut self, demand: &Demand, forecast_ms: f64, now_ms: u64) {
         if self.open.len() >= KEPT_MOST {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Notes that its first token came.
-    pub fn first_token(&mut self, permit: PermitId, now_ms: u64) {
+    pub fn record_first_token(&mut self, permit: PermitId, now_ms: u64) {
         let Some(open) = self.open.remove(&permit) else {
             return;
         };
@@ -66,19 +66,19 @@
     }
 
     /// Forgets a request that was refused, or that left.
-    pub fn left(&mut self, permit: PermitId) {
+    pub fn forget(&mut self, permit: PermitId) {
         self.open.remove(&permit);
     }
 
     /// The ranks of which first tokens came.
-    pub fn known(&self) -> impl Iterator<Item = u8> + '_ {
+    pub fn known_ranks(&self) -> impl Iterator<Item = u8> + '_ {
         let ranks = self.ranks.iter().enumerate();
         let came = ranks.filter(|(_, error)| error.seen_ms > 0);
         came.map(|(rank, _)| rank as u8)
     }
 
     /// What a forecast for a rank is multiplied by.
-    pub fn correction(&self, rank: u8, now_ms: u64) -> f64 {
+    pub fn correction_factor(&self, rank: u8, now_ms: u64) -> f64 {
         let error = &self.ranks[usize::from(rank)];
         let left = fade(error.seen_ms, now_ms);
         let taken_ms = error.taken_ms * left + KNOWN_MS;
--- a/components/policy/src/admission/grant_rate.rs
+++ b/components/policy/src/admission/grant_rate.rs
@@ -16,7 +16,7 @@
 
 impl GrantRate {
     /// Notes that since the last call requests waited, or none did.
-    pub fn pass(&mut self, waiting: bool, now_ms: u64) {
+    pub fn advance(&mut self, waiting: bool, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.seen_ms) as f64;
         self.seen_ms = now_ms;
         if !waiting {
@@ -28,7 +28,7 @@
     }
 
     /// Notes a grant.
-    pub fn granted(&mut self) {
+    pub fn record_grant(&mut self) {
         self.grants += 1.0;
     }
 
--- a/components/policy/src/admission/memory_forecast.rs
+++ b/components/policy/src/admission/memory_forecast.rs
@@ -34,7 +34,7 @@
     }
 
     /// Looks at all engines. What is left at an engine counts only where a request of `usual_tokens` finds room.
-    pub fn look<'a>(
+    pub fn refresh<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a mut EngineLedger>,
         view: &RoomView<'_>,
@@ -57,7 +57,7 @@
     }
 
     /// Notes that a request was placed since the last look.
-    pub fn placed(&mut self, forecast: &Forecast) {
+    pub fn record_placement(&mut self, forecast: &Forecast) {
         for (at, free) in self.free_tokens.iter_mut().enumerate() {
             *free -= forecast.mean_at(at);
         }
@@ -65,7 +65,7 @@
 
     /// Time from now until there is room for a need beside what others take, interpolated between points; that of the last
     /// point where there never is. From the points on at which the request has nearly always ended it needs nothing.
-    pub fn free_in_ms(&self, need: &MemoryNeed, taken: impl Fn(usize) -> f64) -> f64 {
+    pub fn wait_ms(&self, need: &MemoryNeed, taken: impl Fn(usize) -> f64) -> f64 {
         let least = need.peak_tokens * HELD_LEAST_SHARE;
         let mut before: Option<(f64, f64)> = None;
         for at in 0..HORIZONS {
@@ -94,7 +94,7 @@
     }
 
     /// When a point is, from now.
-    pub fn point_ms(&self, at: usize) -> f64 {
+    pub fn horizon_ms(&self, at: usize) -> f64 {
         self.at_ms[at]
     }
 
--- a/components/policy/src/admission/memory_forecast_tests.rs
+++ b/components/policy/src/admission/memory_forecast_tests.rs
@@ -30,25 +30,25 @@
         mean: [0.0; HORIZONS],
         ..need(900.0)
     };
-    assert_eq!(room.free_in_ms(&short, |_| 0.0), 0.0);
-    assert_eq!(room.free_in_ms(&need(900.0), |_| 0.0), 800.0);
+    assert_eq!(room.wait_ms(&short, |_| 0.0), 0.0);
+    assert_eq!(room.wait_ms(&need(900.0), |_| 0.0), 800.0);
 }
 
 #[test]
 fn a_request_that_fits_now_waits_for_no_memory() {
-    assert_eq!(room(1_000.0, 0.0).free_in_ms(&need(1_000.0), |_| 0.0), 0.0);
+    assert_eq!(room(1_000.0, 0.0).wait_ms(&need(1_000.0), |_| 0.0), 0.0);
 }
 
 #[test]
 fn a_request_waits_until_enough_came_free_beside_what_others_take() {
     let room = room(0.0, 1_000.0);
-    assert_eq!(room.free_in_ms(&need(1_500.0), |_| 0.0), 150.0);
-    assert_eq!(room.free_in_ms(&need(1_500.0), |_| 1_000.0), 250.0);
+    assert_eq!(room.wait_ms(&need(1_500.0), |_| 0.0), 150.0);
+    assert_eq!(room.wait_ms(&need(1_500.0), |_| 1_000.0), 250.0);
 }
 
 #[test]
 fn what_never_comes_free_is_waited_for_until_the_last_point() {
-    assert_eq!(room(0.0, 0.0).free_in_ms(&need(1.0), |_| 0.0), 800.0);
+    assert_eq!(room(0.0, 0.0).wait_ms(&need(1.0), |_| 0.0), 800.0);
 }
 
 #[test]
@@ -56,10 +56,10 @@
     let mut room = room(1_000.0, 0.0);
     let mut short = Forecast::default();
     short.add(600.0, |horizon| f64::from(u8::from(horizon < 40.0)));
-    room.placed(&short);
+    room.record_placement(&short);
     assert_eq!(room.free_at(0), 399.0);
     assert_eq!(room.free_at(HORIZONS - 1), 1_000.0);
-    assert!(room.free_in_ms(&need(500.0), |_| 0.0) > 0.0);
+    assert!(room.wait_ms(&need(500.0), |_| 0.0) > 0.0);
 }
 
 #[test]
@@ -88,7 +88,7 @@
     };
     let mut room = MemoryForecast::default();
     assert!(room.is_stale(0));
-    room.look(engines.iter_mut(), &view, 2_000.0);
+    room.refresh(engines.iter_mut(), &view, 2_000.0);
     assert_eq!(room.free_at(0), 4_000.0);
     assert!(!room.is_stale(10));
     assert!(room.is_stale(20));
--- a/components/policy/src/admission/prefill_reserve.rs
+++ b/components/policy/src/admission/prefill_reserve.rs
@@ -20,11 +20,11 @@
 
 impl Pool {
     /// Whether the first request of a place leaves enough engines free to read for what is likely to come and goes first.
-    pub(crate) fn leaves_reading(&self, place: QueueKey, now_ms: u64) -> bool {
+    pub(crate) fn leaves_prefill_reserve(&self, place: QueueKey, now_ms: u64) -> bool {
         let Some(demand) = self.queue.front(place) else {
             return true;
         };
-        let read_ms = self.read_ms(demand);
+        let read_ms = self.prefill_ms(demand);
         let kept = self.kept_engines(demand, read_ms, now_ms);
         if kept < 1.0 {
             return true;
@@ -39,14 +39,14 @@
     }
 
     /// Whether a place is of an account that floods and asks for more than all others.
-    pub(crate) fn outweighs_others(&self, place: QueueKey) -> bool {
+    pub(crate) fn has_dominant_demand(&self, place: QueueKey) -> bool {
         let front = self.queue.front(place);
         front.is_some_and(|demand| self.tree.has_dominant_demand(&demand.share))
     }
 
     /// Engines that are kept free while a prompt is read. The requests of accounts that flood are not among what comes.
     fn kept_engines(&self, demand: &Demand, read_ms: f64, now_ms: u64) -> f64 {
-        let coming = &self.outlook.coming;
+        let coming = &self.outlook.arrivals;
         if self.tree.has_dominant_demand(&demand.share) {
             let mean = coming.requests_before(RANKS as u8, now_ms) * read_ms;
             return mean + KEPT_DEVIATIONS * mean.sqrt();
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -167,7 +167,7 @@
 
     /// Whether a place leaves room to a more urgent one that fits nowhere yet: it takes no hole that would become large
     /// enough. Not where it would miss its own goal.
-    pub fn gives_way(&self, place: QueueKey, to: Option<QueueKey>, now_ms: u64) -> bool {
+    pub fn yields_to(&self, place: QueueKey, to: Option<QueueKey>, now_ms: u64) -> bool {
         let front = self.lines.get(&place).and_then(VecDeque::front);
         let is_due = front.is_some_and(|front| front.begins_by_ms <= now_ms + DUE_AHEAD_MS);
         !is_due && to.is_some_and(|to| to.rank < place.rank)
@@ -178,7 +178,7 @@
     }
 
     /// Whether a request of an account that does not flood has waited for long.
-    pub fn others_wait(&self, tree: &FairTree, now_ms: u64) -> bool {
+    pub fn has_long_non_flooding_wait(&self, tree: &FairTree, now_ms: u64) -> bool {
         self.lines.values().any(|line| {
             let front = line.front().map(|waiting| &waiting.demand);
             let long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
@@ -281,7 +281,7 @@
     }
 
     /// Takes out every request for which `leaves` holds.
-    pub fn take_if(&mut self, leaves: impl Fn(&Demand) -> bool) -> Vec<Demand> {
+    pub fn remove_if(&mut self, leaves: impl Fn(&Demand) -> bool) -> Vec<Demand> {
         let mut taken = Vec::new();
         for line in self.lines.values_mut() {
             if !line.iter().any(|waiting| leaves(&waiting.demand)) {
@@ -302,7 +302,7 @@
 
     /// Takes out one request.
     pub fn remove(&mut self, permit: PermitId) -> Option<Demand> {
-        self.take_if(|demand| demand.permit == permit).pop()
+        self.remove_if(|demand| demand.permit == permit).pop()
     }
 
     pub fn contains(&self, permit: PermitId) -> bool {
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -38,7 +38,7 @@
         }
         // What fits nowhere says nothing of what needs room, and no room is kept for what goes behind all others.
         if !self.tree.is_flooding(&demand.share) {
-            self.outlook.coming.came(demand, need, now_ms);
+            self.outlook.arrivals.came(demand, need, now_ms);
         }
         if self.settings.waiting == WaitingPolicy::FirstToken {
             return self.too_late(demand, need, now_ms);
@@ -75,7 +75,7 @@
             false => Vec::new(),
         };
         let over = |demand: &Demand| match forecasts {
-            true => self.waits_until_ms(demand) <= now_ms,
+            true => self.start_by_ms(demand) <= now_ms,
             false => demand.deadline_ms <= now_ms,
         };
         let over: HashSet<PermitId> = self
@@ -85,14 +85,14 @@
             .filter(|(demand, _)| over(demand))
             .map(|(demand, _)| demand.permit)
             .collect();
-        let expired = self.queue.take_if(|demand| over.contains(&demand.permit));
+        let expired = self.queue.remove_if(|demand| over.contains(&demand.permit));
         for demand in expired {
             self.tree.remove_waiting(&demand.share);
             self.usage.record_refusal(&demand);
             // Its first token would have come after its prompt was read, at the soonest.
-            let read_ms = self.read_ms(&demand) as u64;
+            let read_ms = self.prefill_ms(&demand) as u64;
             let errors = &mut self.outlook.errors;
-            errors.first_token(demand.permit, now_ms.saturating_add(read_ms));
+            errors.record_first_token(demand.permit, now_ms.saturating_add(read_ms));
             let wait_ms = self.expected_wait_ms(&demand).unwrap_or(0);
             let refusal = Refusal {
                 reason: RefusalReason::DeadlinePassed,
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -73,7 +73,7 @@
             floods: self.tree.is_flooding(&demand.share),
             ..Standing::default()
         };
-        let begins_by_ms = self.waits_until_ms(demand);
+        let begins_by_ms = self.start_by_ms(demand);
         let before = self.queue.requests_before(demand, begins_by_ms, &self.tree);
         for other in before {
             let count = match (other.rank < demand.rank, other.share.account) {
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -83,7 +83,7 @@
         }
         for demand in self
             .queue
-            .take_if(|demand| boxes.contains(&demand.permit.entry))
+            .remove_if(|demand| boxes.contains(&demand.permit.entry))
         {
             self.tree.remove_waiting(&demand.share);
         }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -137,7 +137,7 @@
         // Before it counts as waiting: the time before it came says nothing of the pace.
         self.pass(now_ms);
         self.tree.add_waiting(&demand.share);
-        let begins_by_ms = self.waits_until_ms(&demand);
+        let begins_by_ms = self.start_by_ms(&demand);
         self.queue.push(demand, begins_by_ms, need);
         Submitted::Waits { place }
     }
@@ -145,7 +145,7 @@
     /// Takes back a request that waits, or releases its permit where it was granted meanwhile.
     pub fn withdraw(&mut self, permit: PermitId) {
         if let Some(demand) = self.queue.remove(permit) {
-            self.outlook.errors.left(permit);
+            self.outlook.errors.forget(permit);
             self.tree.remove_waiting(&demand.share);
         } else {
             self.release(permit, 0, End::Censored);
@@ -156,12 +156,12 @@
     pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         self.now_ms = self.now_ms.max(now_ms);
         self.tree.advance(now_ms);
-        self.pace.pass(self.queue.len() > 0, now_ms);
+        self.pace.advance(self.queue.len() > 0, now_ms);
         self.pass(now_ms);
         let mut verdicts = self.expire(now_ms);
         self.keep_past(now_ms);
         self.decay_margin(now_ms);
-        if self.queue.others_wait(&self.tree, now_ms) {
+        if self.queue.has_long_non_flooding_wait(&self.tree, now_ms) {
             self.tree.record_non_flooding_wait(now_ms);
         }
         let mut passed = HashSet::new();
@@ -171,10 +171,10 @@
             let Some(place) = self.queue.next(&self.tree, &passed, now_ms) else {
                 break;
             };
-            let gives_way = self.settings.protection && self.queue.gives_way(place, waits, now_ms);
-            if gives_way || !self.leaves_reading(place, now_ms) {
+            let gives_way = self.settings.protection && self.queue.yields_to(place, waits, now_ms);
+            if gives_way || !self.leaves_prefill_reserve(place, now_ms) {
                 // Accounts that flood come last, so that all that follow flood as well.
-                if self.outweighs_others(place) {
+                if self.has_dominant_demand(place) {
                     break;
                 }
                 passed.insert(place);
@@ -200,7 +200,7 @@
     fn pass(&mut self, now_ms: u64) {
         let waits = self.queue.ranks();
         for (pace, waits) in self.paces.iter_mut().zip(waits) {
-            pace.pass(waits, now_ms);
+            pace.advance(waits, now_ms);
         }
     }
 
@@ -221,8 +221,8 @@
     }
 
     fn grant(&mut self, demand: Demand, target: TargetId, now_ms: u64) {
-        self.pace.granted();
-        self.paces[usize::from(demand.rank_in_use())].granted();
+        self.pace.record_grant();
+        self.paces[usize::from(demand.rank_in_use())].record_grant();
         self.grants.push_back(now_ms);
         while self
             .grants
@@ -271,7 +271,7 @@
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
         let held_tokens = f64::from(prompt_tokens + generated_tokens);
         self.tree.adjust_tokens_in_use(&stream.share, held_tokens);
-        self.outlook.room.placed(&forecast);
+        self.outlook.memory.record_placement(&forecast);
         *self.streams_by_box.entry(permit.entry).or_default() += 1;
         let key = self.streams.insert(stream);
         self.by_permit.insert(permit, key);
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -36,7 +36,7 @@
         stream.progress_ms = now_ms;
         let (share, class, target) = (stream.share, stream.class, stream.target);
         if before == 0 {
-            self.outlook.errors.first_token(permit, now_ms);
+            self.outlook.errors.record_first_token(permit, now_ms);
             self.read(key, target);
         }
         if before > 0 && elapsed_ms > 0 {
@@ -62,10 +62,10 @@
         let tokens = tokens.max(before);
         let now_ms = self.now_ms;
         if before == 0 && tokens > 0 {
-            self.outlook.errors.first_token(permit, now_ms);
+            self.outlook.errors.record_first_token(permit, now_ms);
             self.read(key, stream.target);
         }
-        self.outlook.errors.left(permit);
+        self.outlook.errors.forget(permit);
         self.engines.remove_stream(stream.target, key, now_ms);
         self.learn(stream.class, before, tokens, Some(end));
         let held_tokens = stream.prompt_tokens + before;
