--- a/components/policy/src/admission/arrivals.rs
+++ b/components/policy/src/admission/arrivals.rs
@@ -1,57 +1,61 @@
-//! What comes: by rank, how many requests came lately, and what they hold. It tells how much room those that are more
-//! urgent will take before a request that waits is served.
+//! Recent arrivals by rank, with their memory and prompt tokens. They predict how much memory and
+//! prefill more urgent requests will take before a waiting request is served.
 
 use crate::admission::forecast::MemoryNeed;
 use crate::admission::memory_forecast::TokensByHorizon;
 use crate::demand::{Demand, RANKS};
 
-/// Time after which an arrival counts half: a burst shows within a second, and is forgotten some seconds after it.
+/// Half-life of an arrival: a burst shows within a second and has faded a few seconds later.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// What came lately of one rank, as sums in which older requests count less.
+/// Sums over the arrivals of one rank, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct RankArrivals {
-    /// Mean memory that they hold until each point in time.
-    held: TokensByHorizon,
-    /// The most memory that each holds at any time.
+    /// Time-averaged memory use until each horizon.
+    time_averaged_tokens: TokensByHorizon,
+    /// Peak memory use.
     peak_tokens: f64,
     requests: f64,
     prompt_tokens: f64,
-    seen_ms: u64,
+    updated_ms: u64,
 }
 
 impl RankArrivals {
-    fn fade(&self, now_ms: u64) -> f64 {
-        (-(now_ms.saturating_sub(self.seen_ms) as f64) / HALF_LIFE_MS).exp2()
+    fn decay(&self, now_ms: u64) -> f64 {
+        (-(now_ms.saturating_sub(self.updated_ms) as f64) / HALF_LIFE_MS).exp2()
     }
 }
 
-/// What came lately of each rank.
+/// Recent arrivals of all ranks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Arrivals {
     ranks: [RankArrivals; RANKS],
 }
 
 impl Arrivals {
-    /// Notes that a request came.
-    pub fn came(&mut self, demand: &Demand, need: &MemoryNeed, now_ms: u64) {
-        let coming = &mut self.ranks[usize::from(demand.rank_in_use())];
-        let fade = coming.fade(now_ms);
-        for (sum, held) in coming.held.iter_mut().zip(need.held) {
-            *sum = *sum * fade + held;
+    /// Adds an arrival.
+    pub fn record(&mut self, demand: &Demand, need: &MemoryNeed, now_ms: u64) {
+        let arrivals = &mut self.ranks[usize::from(demand.rank_in_use())];
+        let decay = arrivals.decay(now_ms);
+        for (sum, tokens) in arrivals
+            .time_averaged_tokens
+            .iter_mut()
+            .zip(need.time_averaged_tokens)
+        {
+            *sum = *sum * decay + tokens;
         }
-        coming.peak_tokens = coming.peak_tokens * fade + need.peak_tokens;
-        coming.prompt_tokens = coming.prompt_tokens * fade + f64::from(demand.prompt_tokens);
-        coming.requests = coming.requests * fade + 1.0;
-        coming.seen_ms = now_ms;
+        arrivals.peak_tokens = arrivals.peak_tokens * decay + need.peak_tokens;
+        arrivals.prompt_tokens = arrivals.prompt_tokens * decay + f64::from(demand.prompt_tokens);
+        arrivals.requests = arrivals.requests * decay + 1.0;
+        arrivals.updated_ms = now_ms;
     }
 
-    /// Memory that a request holds at the most, on the mean over all that came lately.
-    pub fn usual_tokens(&self, now_ms: u64) -> f64 {
+    /// Returns the mean peak memory of recent arrivals, in tokens.
+    pub fn mean_peak_tokens(&self, now_ms: u64) -> f64 {
         let (mut tokens, mut requests) = (0.0, 0.0);
-        for coming in &self.ranks {
-            tokens += coming.peak_tokens * coming.fade(now_ms);
-            requests += coming.requests * coming.fade(now_ms);
+        for arrivals in &self.ranks {
+            tokens += arrivals.peak_tokens * arrivals.decay(now_ms);
+            requests += arrivals.requests * arrivals.decay(now_ms);
         }
         if requests > 0.0 {
             tokens / requests
@@ -60,38 +64,43 @@
         }
     }
 
-    /// Requests more urgent than a rank that come in a millisecond.
-    pub fn requests_before(&self, rank: u8, now_ms: u64) -> f64 {
-        let whole_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
-        let coming = &self.ranks[..usize::from(rank)];
-        let lately = coming.iter().map(|c| c.requests * c.fade(now_ms));
-        lately.sum::<f64>() / whole_ms
+    /// Returns the arrivals per millisecond of requests more urgent than `rank`.
+    pub fn urgent_requests_per_ms(&self, rank: u8, now_ms: u64) -> f64 {
+        let mean_lifetime_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
+        let arrivals = &self.ranks[..usize::from(rank)];
+        let recent = arrivals.iter().map(|c| c.requests * c.decay(now_ms));
+        recent.sum::<f64>() / mean_lifetime_ms
     }
 
-    /// Prompt tokens of requests more urgent than a rank that come in a millisecond.
-    pub fn prompt_tokens_before(&self, rank: u8, now_ms: u64) -> f64 {
-        let whole_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
-        let coming = &self.ranks[..usize::from(rank)];
-        let lately = coming.iter().map(|c| c.prompt_tokens * c.fade(now_ms));
-        lately.sum::<f64>() / whole_ms
+    /// Returns the prompt tokens per millisecond that arrive with requests more urgent than `rank`.
+    pub fn urgent_prompt_tokens_per_ms(&self, rank: u8, now_ms: u64) -> f64 {
+        let mean_lifetime_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
+        let arrivals = &self.ranks[..usize::from(rank)];
+        let recent = arrivals.iter().map(|c| c.prompt_tokens * c.decay(now_ms));
+        recent.sum::<f64>() / mean_lifetime_ms
     }
 
-    /// Memory that requests more urgent than a rank, which have not come yet, hold at each point in time.
-    pub fn taken_before(
+    /// Returns the memory that future arrivals more urgent than `rank` use at each horizon, in
+    /// tokens.
+    pub fn urgent_tokens_by_horizon(
         &self,
         rank: u8,
-        point_ms: impl Fn(usize) -> f64,
+        horizon_ms: impl Fn(usize) -> f64,
         now_ms: u64,
     ) -> TokensByHorizon {
         let mut taken = TokensByHorizon::default();
-        let whole_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
-        for coming in &self.ranks[..usize::from(rank)] {
-            let per_ms = coming.fade(now_ms) / whole_ms;
-            if per_ms == 0.0 || coming.requests == 0.0 {
+        let mean_lifetime_ms = HALF_LIFE_MS / std::f64::consts::LN_2;
+        for arrivals in &self.ranks[..usize::from(rank)] {
+            let per_ms = arrivals.decay(now_ms) / mean_lifetime_ms;
+            if per_ms == 0.0 || arrivals.requests == 0.0 {
                 continue;
             }
-            for (at, (taken, held)) in taken.iter_mut().zip(coming.held).enumerate() {
-                *taken += held * per_ms * point_ms(at);
+            for (at, (taken, tokens)) in taken
+                .iter_mut()
+                .zip(arrivals.time_averaged_tokens)
+                .enumerate()
+            {
+                *taken += tokens * per_ms * horizon_ms(at);
             }
         }
         taken
--- a/components/policy/src/admission/arrivals_tests.rs
+++ b/components/policy/src/admission/arrivals_tests.rs
@@ -1,49 +1,50 @@
 use super::*;
-use crate::admission::memory_forecast::HORIZONS;
+use crate::admission::memory_forecast::HORIZON_COUNT;
 use crate::admission::test_demands::demand;
 
-const POINT_MS: [f64; HORIZONS] = [100.0; HORIZONS];
+const HORIZON_MS: [f64; HORIZON_COUNT] = [100.0; HORIZON_COUNT];
 
 fn need(tokens: f64) -> MemoryNeed {
     MemoryNeed {
         peak_tokens: tokens,
-        held: [tokens; HORIZONS],
+        time_averaged_tokens: [tokens; HORIZON_COUNT],
         ..MemoryNeed::default()
     }
 }
 
-/// One request of a rank each 10 ms for 3 s.
-fn steady(rank: u8) -> Arrivals {
-    let mut coming = Arrivals::default();
+/// Records one request of `rank` every 10 ms for 3 s.
+fn steady_arrivals(rank: u8) -> Arrivals {
+    let mut arrivals = Arrivals::default();
     for serial in 0..300 {
-        coming.came(&demand(serial, 1, rank), &need(500.0), serial * 10);
+        arrivals.record(&demand(serial, 1, rank), &need(500.0), serial * 10);
     }
-    coming
+    arrivals
 }
 
 #[test]
-fn what_comes_is_expected_at_the_rate_at_which_it_came() {
-    let coming = steady(1);
-    let per_ms = coming.requests_before(2, 3_000);
+fn expects_arrivals_at_their_recent_rate() {
+    let arrivals = steady_arrivals(1);
+    let per_ms = arrivals.urgent_requests_per_ms(2, 3_000);
     assert!((0.08..0.11).contains(&per_ms), "{per_ms}");
-    let read = coming.prompt_tokens_before(2, 3_000);
-    assert!((80.0..110.0).contains(&read), "{read}");
-    // Ten requests within 100 ms, of 500 tokens each.
-    let taken = coming.taken_before(2, |at| POINT_MS[at], 3_000)[4];
+    let prompt_tokens = arrivals.urgent_prompt_tokens_per_ms(2, 3_000);
+    assert!((80.0..110.0).contains(&prompt_tokens), "{prompt_tokens}");
+    // Ten requests arrive within 100 ms, with 500 tokens each.
+    let taken = arrivals.urgent_tokens_by_horizon(2, |at| HORIZON_MS[at], 3_000)[4];
     assert!((4_000.0..5_500.0).contains(&taken), "{taken}");
-    assert!((coming.usual_tokens(3_000) - 500.0).abs() < 1.0);
+    assert!((arrivals.mean_peak_tokens(3_000) - 500.0).abs() < 1.0);
 }
 
 #[test]
-fn only_what_is_more_urgent_goes_before() {
-    let coming = steady(2);
-    assert_eq!(coming.requests_before(2, 3_000), 0.0);
-    assert!(coming.requests_before(9, 3_000) > 0.0);
+fn counts_only_more_urgent_arrivals() {
+    let arrivals = steady_arrivals(2);
+    assert_eq!(arrivals.urgent_requests_per_ms(2, 3_000), 0.0);
+    assert!(arrivals.urgent_requests_per_ms(9, 3_000) > 0.0);
 }
 
 #[test]
-fn a_burst_is_forgotten_some_seconds_after_it() {
-    let coming = steady(0);
-    let left = coming.requests_before(1, 7_000) / coming.requests_before(1, 3_000);
+fn a_burst_fades_within_seconds() {
+    let arrivals = steady_arrivals(0);
+    let left =
+        arrivals.urgent_requests_per_ms(1, 7_000) / arrivals.urgent_requests_per_ms(1, 3_000);
     assert!(left < 0.1, "{left}");
 }
--- a/components/policy/src/admission/first_token.rs
+++ b/components/policy/src/admission/first_token.rs
@@ -1,14 +1,16 @@
-//! Who is let wait, by a forecast of their first tokens: what would come too late is refused at once, so that its caller
-//! can come back elsewhere or later, and what is let wait is nearly always served in time.
+//! Admission by first-token forecast: a request whose first token would be late is refused at once,
+//! so that its caller can retry elsewhere or later, and an admitted request is nearly always served
+//! in time.
 //!
-//! Two resources bind, and both are run forward for what goes before a request in the order in which it will be served:
-//! the engines' reading of prompts, and their memory, which comes free as what runs ends, by the lengths of such answers.
-//! The later of the two is the forecast. It is corrected by how far such forecasts were off lately. Where memory is not run
-//! forward (`memory_ahead` is off, as by default), the pace at which requests of the same rank were granted lately stands
-//! for it, and nothing is corrected.
+//! Two resources limit the first token: the engines' prefill throughput, and their memory, which is
+//! released as running answers end, by the length model. Both are simulated for the requests ahead,
+//! in the order of service. The later of the two times is the forecast, multiplied by a correction
+//! for recent forecast errors. Where memory is not simulated (`memory_ahead` is off, the default),
+//! the recent grant rate of the same rank replaces it, and no correction is applied unless
+//! `corrects_forecasts` is on.
 //!
-//! Load patterns that this answers: a burst while a third of the engines is evacuated, prompts that are suddenly twice
-//! as long, a flood of requests that are less urgent than the others.
+//! Covers these load patterns: a burst while a third of the engines is evacuated, prompts that
+//! suddenly double in length, and a flood of less urgent requests.
 
 use crate::admission::forecast::{MemoryNeed, QueueAhead};
 use crate::admission::pending_retries::PendingRetries;
@@ -18,38 +20,39 @@
 use crate::pool::Pool;
 use prelude::{PermitId, Refusal, RefusalReason};
 
-/// Share of the time until its first token is due within which a request may be refused though it was let wait: later its
-/// caller would have waited for nothing.
-const EARLY_SHARE: f64 = 0.2;
-/// Share of that time for which a request waits at the least, though its prompt takes longer to read than there is
-/// time: an engine may be faster than it seems.
-const WAIT_MIN_SHARE: f64 = 0.1;
-/// A prompt whose first token comes within so many times what it takes to be read is not refused: nothing is before it.
-const ALONE_TIMES: f64 = 1.1;
-/// Share of the reading that more urgent requests are taken to use at the most: beyond it they wait for each other.
-const URGENT_SHARE_MOST: f64 = 0.8;
-/// Share of its goal within which a caller that comes back is to be served, where memory is run forward: a second refusal
-/// is mostly final.
-const BACK_SHARE: f64 = 0.5;
-/// Least time after which a refused caller is told to come back.
-const RETRY_AFTER_MIN_MS: u64 = 100;
+/// An admitted request may still be refused within this share of the time from its arrival to its
+/// deadline. A later refusal would have made its caller wait for nothing.
+const EARLY_REFUSAL_SHARE: f64 = 0.2;
+/// A request waits for at least this share of that time, even if the remaining time is shorter than
+/// its prefill: an engine may be faster than estimated.
+const MIN_WAIT_SHARE: f64 = 0.1;
+/// A forecast within this multiple of the request's own prefill time means that no other request
+/// delays it, so it is not refused.
+const OWN_PREFILL_FACTOR: f64 = 1.1;
+/// Maximum share of prefill throughput attributed to more urgent requests. Beyond it they wait for
+/// each other.
+const MAX_URGENT_SHARE: f64 = 0.8;
+/// With simulated memory, the retry time aims at a first token within this share of the goal: a
+/// second refusal is mostly final.
+const RETRY_GOAL_SHARE: f64 = 0.5;
+const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Time from now until the first token of a request would come.
+/// Forecast time from now to a request's first token.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FirstToken {
-    /// By the forecast.
+pub(crate) struct FirstTokenForecast {
+    /// Uncorrected forecast.
     pub forecast_ms: f64,
-    /// The same, corrected by how far forecasts were off.
+    /// Forecast corrected for recent errors.
     pub corrected_ms: f64,
 }
 
 impl Pool {
-    /// Looks at the memory that will come free, where that was not done just now.
-    pub(crate) fn look_ahead(&mut self, now_ms: u64) {
+    /// Refreshes the memory forecast if it is stale.
+    pub(crate) fn refresh_memory_forecast(&mut self, now_ms: u64) {
         if !self.settings.memory_ahead || !self.outlook.memory.is_stale(now_ms) {
             return;
         }
-        let usual_tokens = self.outlook.arrivals.usual_tokens(now_ms);
+        let typical_tokens = self.outlook.arrivals.mean_peak_tokens(now_ms);
         let view = RoomView {
             streams: &self.streams,
             lengths: &self.lengths,
@@ -60,28 +63,28 @@
         };
         self.outlook
             .memory
-            .refresh(self.engines.iter_mut(), &view, usual_tokens);
+            .refresh(self.engines.iter_mut(), &view, typical_tokens);
     }
 
-    /// Refusal of a request whose first token would come too late, with the time after which to come back. Otherwise its
-    /// forecast is noted.
-    pub(crate) fn too_late(
+    /// Returns a refusal with a retry time if the request's first token would be late. Records the
+    /// forecast otherwise.
+    pub(crate) fn late_refusal(
         &mut self,
         demand: &Demand,
         need: &MemoryNeed,
         now_ms: u64,
     ) -> Option<Refusal> {
-        self.look_ahead(now_ms);
-        let mut run = self.run_forward(now_ms);
-        let begins_by_ms = self.start_by_ms(demand);
-        let before = self
+        self.refresh_memory_forecast(now_ms);
+        let mut simulation = self.simulate_prefill(now_ms);
+        let start_by_ms = self.start_by_ms(demand);
+        let queue_ahead = self
             .queue
-            .before(demand, begins_by_ms, &self.tree, &mut run);
-        let first = self.first_token(&run, demand, need, &before, now_ms)?;
-        if self.is_over(demand, first, now_ms) {
-            let mut returning = std::mem::take(&mut self.outlook.retries);
-            let refusal = self.crowded(run, demand, need, before, &mut returning);
-            self.outlook.retries = returning;
+            .queue_ahead(demand, start_by_ms, &self.tree, &mut simulation);
+        let first = self.first_token(&simulation, demand, need, &queue_ahead, now_ms)?;
+        if self.is_late(demand, first, now_ms) {
+            let mut retries = std::mem::take(&mut self.outlook.retries);
+            let refusal = self.crowded_refusal(simulation, demand, need, queue_ahead, &mut retries);
+            self.outlook.retries = retries;
             return Some(refusal);
         }
         let errors = &mut self.outlook.errors;
@@ -89,36 +92,43 @@
         None
     }
 
-    /// Refuses what was let wait a moment ago and will be too late by what is known now.
-    pub(crate) fn refuse_early(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
+    /// Refuses recently admitted requests whose first tokens would now be late.
+    pub(crate) fn refuse_late_forecasts(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         if self.queue.len() == 0 {
             return Vec::new();
         }
-        self.look_ahead(now_ms);
-        let mut returning = std::mem::take(&mut self.outlook.retries);
-        let mut run = self.run_forward(now_ms);
-        let mut before = QueueAhead::default();
+        self.refresh_memory_forecast(now_ms);
+        let mut retries = std::mem::take(&mut self.outlook.retries);
+        let mut simulation = self.simulate_prefill(now_ms);
+        let mut queue_ahead = QueueAhead::default();
         let mut rank = 0;
         let mut verdicts = Vec::new();
         for (demand, need) in self.queue.in_order(&self.tree) {
             if demand.rank_in_use() != rank {
                 rank = demand.rank_in_use();
-                before.same_rank = 0;
+                queue_ahead.same_rank_requests = 0;
             }
-            let Some(first) = self.first_token(&run, demand, need, &before, now_ms) else {
+            let Some(first) = self.first_token(&simulation, demand, need, &queue_ahead, now_ms)
+            else {
                 break;
             };
             let waited_ms = now_ms.saturating_sub(demand.since_ms) as f64;
-            let is_early = waited_ms <= whole_ms(demand) * EARLY_SHARE;
-            if is_early && self.is_over(demand, first, now_ms) {
-                let refusal = self.crowded(run.clone(), demand, need, before, &mut returning);
+            let is_early = waited_ms <= goal_ms(demand) * EARLY_REFUSAL_SHARE;
+            if is_early && self.is_late(demand, first, now_ms) {
+                let refusal = self.crowded_refusal(
+                    simulation.clone(),
+                    demand,
+                    need,
+                    queue_ahead,
+                    &mut retries,
+                );
                 verdicts.push((demand.permit, Verdict::Refused(refusal)));
                 continue;
             }
-            run.read(demand.prompt_tokens);
-            before.add(demand, need, rank);
+            simulation.enqueue(demand.prompt_tokens);
+            queue_ahead.add_request(demand, need, rank);
         }
-        self.outlook.retries = returning;
+        self.outlook.retries = retries;
         for (permit, _) in &verdicts {
             self.outlook.errors.forget(*permit);
             if let Some(demand) = self.queue.remove(*permit) {
@@ -129,82 +139,95 @@
         verdicts
     }
 
-    /// A refusal with the time after which a request would be served, behind those who were told to come back before it.
-    fn crowded(
+    /// Returns a refusal whose retry time accounts for callers that were given earlier retry times.
+    fn crowded_refusal(
         &self,
-        mut run: PrefillSimulation,
+        mut simulation: PrefillSimulation,
         demand: &Demand,
         need: &MemoryNeed,
-        mut before: QueueAhead,
-        returning: &mut PendingRetries,
+        mut queue_ahead: QueueAhead,
+        retries: &mut PendingRetries,
     ) -> Refusal {
         let now_ms = self.now_ms;
-        let floods = self.tree.is_flooding(&demand.share);
-        let turn = (floods, demand.rank_in_use());
-        let ahead = self.settings.memory_ahead;
-        if ahead {
-            returning.add_to(&mut before, &mut run, turn, now_ms);
+        let is_flooding = self.tree.is_flooding(&demand.share);
+        let priority = (is_flooding, demand.rank_in_use());
+        let simulates_memory = self.settings.memory_ahead;
+        if simulates_memory {
+            retries.add_to(&mut queue_ahead, &mut simulation, priority, now_ms);
         }
-        let first = self.first_token(&run, demand, need, &before, now_ms);
+        let first = self.first_token(&simulation, demand, need, &queue_ahead, now_ms);
         let first_ms = first.map_or(0.0, |first| first.corrected_ms);
-        // Its goal begins anew when it comes back.
-        let share = if ahead { BACK_SHARE } else { 1.0 };
-        let back_ms = (first_ms - whole_ms(demand) * share).max(0.0) as u64;
-        let back_ms = back_ms.max(RETRY_AFTER_MIN_MS);
-        returning.told(demand, need, floods, now_ms.saturating_add(back_ms));
+        // The goal starts anew with the retry.
+        let goal_share = if simulates_memory {
+            RETRY_GOAL_SHARE
+        } else {
+            1.0
+        };
+        let retry_after_ms = (first_ms - goal_ms(demand) * goal_share).max(0.0) as u64;
+        let retry_after_ms = retry_after_ms.max(MIN_RETRY_AFTER_MS);
+        retries.record(
+            demand,
+            need,
+            is_flooding,
+            now_ms.saturating_add(retry_after_ms),
+        );
         Refusal {
             reason: RefusalReason::Crowded,
-            retry_after_ms: Some(back_ms),
+            retry_after_ms: Some(retry_after_ms),
         }
     }
 
-    /// Until when a request waits: beyond that its prompt could not be read in time.
+    /// Returns the latest time at which the request's prefill can start and still meet its
+    /// deadline. A request is refused if it waits longer.
     pub(crate) fn start_by_ms(&self, demand: &Demand) -> u64 {
         let latest_ms = demand
             .deadline_ms
             .saturating_sub(self.prefill_ms(demand) as u64);
-        let least_ms = (whole_ms(demand) * WAIT_MIN_SHARE) as u64;
-        latest_ms.max(demand.since_ms.saturating_add(least_ms))
+        let min_wait_ms = (goal_ms(demand) * MIN_WAIT_SHARE) as u64;
+        latest_ms.max(demand.since_ms.saturating_add(min_wait_ms))
     }
 
-    /// Whether a first token comes too late, and not only because its own prompt is long.
-    fn is_over(&self, demand: &Demand, first: FirstToken, now_ms: u64) -> bool {
+    /// Returns whether the first token would be late for other reasons than the request's own
+    /// prefill time.
+    fn is_late(&self, demand: &Demand, first: FirstTokenForecast, now_ms: u64) -> bool {
         let left_ms = demand.deadline_ms.saturating_sub(now_ms) as f64;
-        let is_alone = first.forecast_ms <= self.prefill_ms(demand) * ALONE_TIMES;
-        first.corrected_ms > left_ms && !is_alone
+        let is_undelayed = first.forecast_ms <= self.prefill_ms(demand) * OWN_PREFILL_FACTOR;
+        first.corrected_ms > left_ms && !is_undelayed
     }
 
-    /// When the first token of a request comes that goes next, behind what goes before it.
+    /// Forecasts the first token of a request that is served after `queue_ahead`. Returns `None` if
+    /// no engine accepts work.
     fn first_token(
         &self,
-        run: &PrefillSimulation,
+        simulation: &PrefillSimulation,
         demand: &Demand,
         need: &MemoryNeed,
-        before: &QueueAhead,
+        queue_ahead: &QueueAhead,
         now_ms: u64,
-    ) -> Option<FirstToken> {
+    ) -> Option<FirstTokenForecast> {
         let rank = demand.rank_in_use();
-        let read_ms = self.prefill_ms(demand);
-        let alone_ms = run.first_token_ms(demand.prompt_tokens)?;
-        let held_up = self.held_up(run, rank, now_ms);
-        let by_reading_ms = read_ms + (alone_ms - read_ms).max(0.0) * held_up;
+        let prefill_ms = self.prefill_ms(demand);
+        let queued_ms = simulation.first_token_ms(demand.prompt_tokens)?;
+        let urgent_slowdown = self.urgent_slowdown(simulation, rank, now_ms);
+        let by_prefill_ms = prefill_ms + (queued_ms - prefill_ms).max(0.0) * urgent_slowdown;
         let granted_ms = match self.settings.memory_ahead {
-            true => self.outlook.memory_in_ms(rank, need, before, now_ms),
-            false => self.by_pace_ms(rank, before.same_rank),
+            true => self.outlook.memory_wait_ms(rank, need, queue_ahead, now_ms),
+            false => self.grant_wait_ms(rank, queue_ahead.same_rank_requests),
         };
-        let forecast_ms = by_reading_ms.max(granted_ms + read_ms);
+        let forecast_ms = by_prefill_ms.max(granted_ms + prefill_ms);
         let corrects = self.settings.corrects_forecasts || self.settings.memory_ahead;
         let correction = match corrects {
             true => self.outlook.errors.correction_factor(rank, now_ms),
             false => 1.0,
         };
-        Some(FirstToken {
+        Some(FirstTokenForecast {
             forecast_ms,
             corrected_ms: forecast_ms * correction,
         })
     }
 
-    /// By how much forecasts of first tokens are corrected, for the ranks of which some came lately: 1 where they were right.
+    /// Returns the correction factor of each rank that had first tokens; 1 means accurate
+    /// forecasts.
     pub fn forecast_corrections(&self) -> impl Iterator<Item = (u8, f64)> + '_ {
         let errors = &self.outlook.errors;
         errors
@@ -212,59 +235,63 @@
             .map(|rank| (rank, errors.correction_factor(rank, self.now_ms)))
     }
 
-    /// How many times longer a request waits to be read because more urgent ones come meanwhile.
-    fn held_up(&self, run: &PrefillSimulation, rank: u8, now_ms: u64) -> f64 {
-        if !self.counts_what_comes() {
+    /// Returns the factor by which arrivals of more urgent requests lengthen the wait for prefill.
+    fn urgent_slowdown(&self, simulation: &PrefillSimulation, rank: u8, now_ms: u64) -> f64 {
+        if !self.counts_arrivals() {
             return 1.0;
         }
-        let coming = &self.outlook.arrivals;
-        let urgent = coming.prompt_tokens_before(rank, now_ms) / run.tokens_per_ms();
-        (1.0 - urgent.min(URGENT_SHARE_MOST)).recip()
+        let arrivals = &self.outlook.arrivals;
+        let urgent_share =
+            arrivals.urgent_prompt_tokens_per_ms(rank, now_ms) / simulation.tokens_per_ms();
+        (1.0 - urgent_share.min(MAX_URGENT_SHARE)).recip()
     }
 
-    /// Whether forecasts count what comes meanwhile and is more urgent, and so how much all engines read together.
-    fn counts_what_comes(&self) -> bool {
+    /// Returns whether forecasts account for arrivals of more urgent requests, which needs the
+    /// prefill throughput of all engines.
+    fn counts_arrivals(&self) -> bool {
         self.settings.urgent_ahead || self.settings.memory_ahead
     }
 
-    /// When a request behind so many of its rank is granted, by the pace at which that rank was granted lately.
-    fn by_pace_ms(&self, rank: u8, same_rank: usize) -> f64 {
-        if same_rank == 0 {
+    /// Returns the wait for a grant behind the other requests of its rank, at that rank's recent
+    /// grant rate.
+    fn grant_wait_ms(&self, rank: u8, same_rank_requests: usize) -> f64 {
+        if same_rank_requests == 0 {
             return 0.0;
         }
-        let pace = self.paces[usize::from(rank)].ms_per_grant();
-        pace.unwrap_or(0.0) * (same_rank + 1) as f64
+        let ms_per_grant = self.paces[usize::from(rank)].ms_per_grant();
+        ms_per_grant.unwrap_or(0.0) * (same_rank_requests + 1) as f64
     }
 
     pub(crate) fn prefill_ms(&self, demand: &Demand) -> f64 {
         f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms()
     }
 
-    fn run_forward(&self, now_ms: u64) -> PrefillSimulation {
-        let takes = |ledger: &&EngineLedger| {
+    fn simulate_prefill(&self, now_ms: u64) -> PrefillSimulation {
+        let accepts_work = |ledger: &&EngineLedger| {
             ledger.state == EngineState::Live && ledger.bears_one_more(now_ms)
         };
-        let reader = |ledger: &EngineLedger| PrefillEngine {
-            left_ms: ledger.reading.left_ms(&self.reading_rate, now_ms),
+        let engine = |ledger: &EngineLedger| PrefillEngine {
+            backlog_ms: ledger.reading.left_ms(&self.reading_rate, now_ms),
             tokens_per_ms: ledger.reading.rate(&self.reading_rate),
         };
-        // Each prompt that waits is read by the engine that is free first: so many free ones are enough for all of them.
-        let wanted = self.queue.len() + 1;
-        let mut readers = Vec::new();
-        let mut free = 0;
-        for reader in self.engines.iter().filter(takes).map(reader) {
-            free += usize::from(reader.left_ms == 0.0);
-            readers.push(reader);
-            if free == wanted && !self.counts_what_comes() {
+        // Each waiting prompt goes to the engine that is idle first, so one idle engine per prompt
+        // suffices.
+        let needed = self.queue.len() + 1;
+        let mut engines = Vec::new();
+        let mut idle = 0;
+        for engine in self.engines.iter().filter(accepts_work).map(engine) {
+            idle += usize::from(engine.backlog_ms == 0.0);
+            engines.push(engine);
+            if idle == needed && !self.counts_arrivals() {
                 break;
             }
         }
-        PrefillSimulation::new(&readers)
+        PrefillSimulation::new(&engines)
     }
 }
 
-/// The time from its coming until its first token is due.
-fn whole_ms(demand: &Demand) -> f64 {
+/// Returns the time from arrival to the first-token deadline.
+fn goal_ms(demand: &Demand) -> f64 {
     demand.deadline_ms.saturating_sub(demand.since_ms) as f64
 }
 
--- a/components/policy/src/admission/first_token_tests.rs
+++ b/components/policy/src/admission/first_token_tests.rs
@@ -7,7 +7,7 @@
     AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, RefusalReason, TargetId,
 };
 
-/// One engine that reads 5 tokens a millisecond, by what a pool takes for known at first.
+/// Returns a pool of one engine that prefills 5 tokens per millisecond, the initial estimate.
 fn pool() -> Pool {
     let mut pool = Pool::new(PoolSettings {
         first_report_ms: 0,
@@ -55,20 +55,23 @@
 }
 
 #[test]
-fn what_cannot_be_read_in_time_is_refused_when_it_comes() {
+fn refuses_on_arrival_a_prompt_that_cannot_be_prefilled_in_time() {
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
         pool.run(0);
     }
-    // The fourth would be read after 4 s.
+    // The fourth prefill would end after 4 s.
     let Submitted::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
-        panic!("it waits");
+        panic!("the request was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
-    // When it comes back it is served within half its goal.
-    let back_ms = refusal.retry_after_ms.unwrap();
-    assert!((2_400..=2_600).contains(&back_ms), "{back_ms}");
+    // The retry is served within half its goal.
+    let retry_after_ms = refusal.retry_after_ms.unwrap();
+    assert!(
+        (2_400..=2_600).contains(&retry_after_ms),
+        "{retry_after_ms}"
+    );
     assert!(matches!(
         pool.submit(demand(5, 5_000, 4_500), 0),
         Submitted::Waits { .. }
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn a_request_that_nothing_is_before_is_not_refused_for_its_length() {
+fn does_not_refuse_a_long_prompt_with_no_request_ahead() {
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, 50_000, 1_000), 0),
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn the_urgent_do_not_wait_for_those_that_are_less_urgent() {
+fn urgent_requests_do_not_wait_for_less_urgent_ones() {
     let mut pool = pool();
     for serial in 0..4 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn who_comes_back_goes_before_those_that_have_more_time_left() {
+fn serves_the_caller_with_the_least_time_left_first() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
     pool.run(0);
@@ -122,12 +125,12 @@
 }
 
 #[test]
-fn what_is_let_wait_is_refused_late_only_when_its_prompt_can_no_longer_be_read() {
+fn refuses_an_admitted_request_only_when_its_prefill_cannot_finish_in_time() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
     pool.run(0);
     pool.submit(demand(2, 2_500, 2_000), 0);
-    // The first is overdue: from 1.5 s on the second could not be read before 2 s.
+    // The first is overdue: from 1.5 s on the second cannot be prefilled before 2 s.
     let refused = |pool: &mut Pool, at_ms| {
         let verdicts = pool.run(at_ms);
         verdicts
@@ -139,31 +142,31 @@
 }
 
 #[test]
-fn who_is_due_sooner_goes_before_those_of_the_same_rank_who_can_wait() {
+fn serves_the_earlier_deadline_first_within_a_rank() {
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
         pool.run(0);
     }
-    // The others are due after 9 s: it is read after the first, in 2 s.
+    // The others are due after 9 s, so it is prefilled second, within 2 s.
     let soon = demand(9, 5_000, 3_000);
     assert!(matches!(pool.submit(soon, 0), Submitted::Waits { .. }));
     assert_eq!(pool.queue.in_order(&pool.tree)[0].0.permit.serial, 9);
 }
 
 #[test]
-fn callers_that_are_refused_together_are_told_times_one_after_another() {
+fn staggers_the_retry_times_of_refused_callers() {
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
         pool.run(0);
     }
-    let back_ms = |serial| match pool.submit(demand(serial, 5_000, 3_000), 0) {
+    let retry_after_ms = |serial| match pool.submit(demand(serial, 5_000, 3_000), 0) {
         Submitted::Refused(refusal) => refusal.retry_after_ms.unwrap(),
-        Submitted::Waits { .. } => panic!("it waits"),
+        Submitted::Waits { .. } => panic!("the request was not refused"),
     };
-    // Each prompt takes a second to read.
-    let times: Vec<u64> = [10, 11, 12].map(back_ms).to_vec();
+    // Each prefill takes a second.
+    let times: Vec<u64> = [10, 11, 12].map(retry_after_ms).to_vec();
     assert!(
         times.is_sorted_by(|one, next| one + 900 <= *next),
         "{times:?}"
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn absurd_token_counts_stop_nobody() {
+fn extreme_token_counts_block_no_other_request() {
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, u32::MAX, 1_000), 0),
--- a/components/policy/src/admission/forecast.rs
+++ b/components/policy/src/admission/forecast.rs
@@ -1,14 +1,14 @@
-//! What a pool expects of the next seconds: memory that comes free, requests that come, callers that come back, and how
-//! far such forecasts were off.
+//! What a pool expects in the next seconds: released memory, arrivals, retries, and the recent
+//! error of such forecasts.
 
 use crate::admission::arrivals::Arrivals;
 use crate::admission::forecast_error::ForecastErrors;
-use crate::admission::memory_forecast::{MemoryForecast, TokensByHorizon, held_until};
+use crate::admission::memory_forecast::{MemoryForecast, TokensByHorizon, time_averaged};
 use crate::admission::pending_retries::PendingRetries;
 use crate::demand::Demand;
 use crate::placement::forecast::Forecast;
 
-/// What a pool expects.
+/// The forecasts that admission uses.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionForecast {
     pub memory: MemoryForecast,
@@ -17,65 +17,67 @@
     pub retries: PendingRetries,
 }
 
-/// The memory that a request needs.
+/// Expected memory use of a request, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MemoryNeed {
-    /// The most that it holds at any time, as expected.
+    /// Peak of the mean over all horizons.
     pub peak_tokens: f64,
-    /// What it holds on the mean at each point in time after it began.
-    pub mean: TokensByHorizon,
-    /// What it holds on the mean from its coming until each point in time.
-    pub held: TokensByHorizon,
+    /// Mean at each horizon after its start.
+    pub mean_tokens: TokensByHorizon,
+    /// Mean over the time from arrival to each horizon.
+    pub time_averaged_tokens: TokensByHorizon,
 }
 
 impl MemoryNeed {
-    /// The need of a request by the forecast of its memory.
+    /// Derives the need from a memory forecast.
     pub fn of(forecast: &Forecast) -> Self {
         Self {
             peak_tokens: forecast.peak_tokens(0.0),
-            mean: std::array::from_fn(|at| forecast.mean_at(at)),
-            held: held_until(forecast),
+            mean_tokens: std::array::from_fn(|at| forecast.mean_at(at)),
+            time_averaged_tokens: time_averaged(forecast),
         }
     }
 }
 
-/// What goes before a request.
+/// The work served before a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct QueueAhead {
-    /// Memory that it holds on the mean until each point in time.
-    pub held: TokensByHorizon,
-    /// Requests of the same rank.
-    pub same_rank: usize,
+    /// Time-averaged memory use until each horizon.
+    pub time_averaged_tokens: TokensByHorizon,
+    /// Number of requests of the same rank.
+    pub same_rank_requests: usize,
 }
 
 impl QueueAhead {
     /// Adds a request.
-    pub fn add(&mut self, demand: &Demand, need: &MemoryNeed, rank: u8) {
-        self.hold(&need.held);
-        self.same_rank += usize::from(demand.rank_in_use() == rank);
+    pub fn add_request(&mut self, demand: &Demand, need: &MemoryNeed, rank: u8) {
+        self.add_tokens(&need.time_averaged_tokens);
+        self.same_rank_requests += usize::from(demand.rank_in_use() == rank);
     }
 
-    /// Adds memory that is held.
-    pub fn hold(&mut self, held: &TokensByHorizon) {
-        for (sum, held) in self.held.iter_mut().zip(held) {
-            *sum += held;
+    /// Adds memory use.
+    pub fn add_tokens(&mut self, tokens: &TokensByHorizon) {
+        for (sum, tokens) in self.time_averaged_tokens.iter_mut().zip(tokens) {
+            *sum += tokens;
         }
     }
 }
 
 impl AdmissionForecast {
-    /// Time until there is memory for a request of a rank behind what goes before it and what is likely to come and is
-    /// more urgent.
-    pub fn memory_in_ms(
+    /// Returns the time until a request fits in memory, behind `queue_ahead` and the expected
+    /// arrivals of more urgent ranks.
+    pub fn memory_wait_ms(
         &self,
         rank: u8,
         need: &MemoryNeed,
-        before: &QueueAhead,
+        queue_ahead: &QueueAhead,
         now_ms: u64,
     ) -> f64 {
-        let point_ms = |at| self.memory.horizon_ms(at);
-        let coming = self.arrivals.taken_before(rank, point_ms, now_ms);
-        let taken = |at: usize| before.held[at] + coming[at];
+        let horizon_ms = |at| self.memory.horizon_ms(at);
+        let arriving = self
+            .arrivals
+            .urgent_tokens_by_horizon(rank, horizon_ms, now_ms);
+        let taken = |at: usize| queue_ahead.time_averaged_tokens[at] + arriving[at];
         self.memory.wait_ms(need, taken)
     }
 }
--- a/components/policy/src/admission/forecast_error.rs
+++ b/components/policy/src/admission/forecast_error.rs
@@ -1,94 +1,97 @@
-//! How far forecasts of first tokens were off, by rank: what they took against what was forecast, fading. A forecast is
-//! corrected by it, so that a pool that serves later than it seems refuses sooner.
+//! Recent error of first-token forecasts by rank: actual against forecast time, with exponential
+//! decay. Forecasts are multiplied by the ratio, so that a pool that turns out slower than forecast
+//! refuses requests earlier.
 
 use crate::demand::{Demand, RANKS};
 use prelude::PermitId;
 use std::collections::HashMap;
 
-/// Time after which an error counts half: a correction outlives the trouble that caused it by a few seconds.
+/// Half-life of an error: a correction outlives its cause by a few seconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
-/// Time that counts as forecast without error from the start, a prior: one answer alone corrects little, and a correction
-/// fades where all is refused.
-const KNOWN_MS: f64 = 5_000.0;
-/// Bounds of a correction: beyond them a fault of one engine, not of the forecast, is the cause.
-const LEAST: f64 = 0.7;
-const MOST: f64 = 2.0;
-/// Forecasts that are kept at a time; one that is lost corrects nothing.
-const KEPT_MOST: usize = 10_000;
+/// Time assumed to be forecast without error (the prior). One first token alone corrects little,
+/// and a correction fades while all requests are refused.
+const PRIOR_MS: f64 = 5_000.0;
+/// Bounds of the correction factor. Errors beyond them come from a fault of one engine, not from
+/// the forecast.
+const MIN_FACTOR: f64 = 0.7;
+const MAX_FACTOR: f64 = 2.0;
+/// Maximum number of pending forecasts; further ones are not recorded and correct nothing.
+const MAX_PENDING: usize = 10_000;
 
-/// The sums of one rank, in which older first tokens count less.
+/// Sums of one rank, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct RankError {
     forecast_ms: f64,
-    taken_ms: f64,
-    seen_ms: u64,
+    actual_ms: f64,
+    updated_ms: u64,
 }
 
-/// A forecast whose first token has not come.
+/// A forecast whose first token is pending.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct PendingForecast {
     rank: u8,
-    at_ms: u64,
+    arrived_ms: u64,
     forecast_ms: f64,
 }
 
-/// How far forecasts were off.
+/// Forecast errors by rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForecastErrors {
     ranks: [RankError; RANKS],
-    open: HashMap<PermitId, Open>,
+    pending: HashMap<PermitId, PendingForecast>,
 }
 
 impl ForecastErrors {
-    /// Notes what was forecast, uncorrected, when a request came.
+    /// Records the uncorrected forecast of an arriving request.
     pub fn record_forecast(&mut self, demand: &Demand, forecast_ms: f64, now_ms: u64) {
-        if self.open.len() >= KEPT_MOST {
+        if self.pending.len() >= MAX_PENDING {
             return;
         }
-        let open = Open {
+        let pending = PendingForecast {
             rank: demand.rank_in_use(),
-            at_ms: now_ms,
+            arrived_ms: now_ms,
             forecast_ms,
         };
-        self.open.insert(demand.permit, open);
+        self.pending.insert(demand.permit, pending);
     }
 
-    /// Notes that its first token came.
+    /// Records that a request's first token arrived.
     pub fn record_first_token(&mut self, permit: PermitId, now_ms: u64) {
-        let Some(open) = self.open.remove(&permit) else {
+        let Some(pending) = self.pending.remove(&permit) else {
             return;
         };
-        let error = &mut self.ranks[usize::from(open.rank)];
-        let left = fade(error.seen_ms, now_ms);
-        error.forecast_ms = error.forecast_ms * left + open.forecast_ms;
-        error.taken_ms = error.taken_ms * left + now_ms.saturating_sub(open.at_ms) as f64;
-        error.seen_ms = now_ms;
+        let error = &mut self.ranks[usize::from(pending.rank)];
+        let decay = decay_since(error.updated_ms, now_ms);
+        error.forecast_ms = error.forecast_ms * decay + pending.forecast_ms;
+        error.actual_ms =
+            error.actual_ms * decay + now_ms.saturating_sub(pending.arrived_ms) as f64;
+        error.updated_ms = now_ms;
     }
 
-    /// Forgets a request that was refused, or that left.
+    /// Drops the forecast of a request that was refused or withdrawn.
     pub fn forget(&mut self, permit: PermitId) {
-        self.open.remove(&permit);
+        self.pending.remove(&permit);
     }
 
-    /// The ranks of which first tokens came.
+    /// Returns the ranks that have had first tokens.
     pub fn known_ranks(&self) -> impl Iterator<Item = u8> + '_ {
         let ranks = self.ranks.iter().enumerate();
-        let came = ranks.filter(|(_, error)| error.seen_ms > 0);
-        came.map(|(rank, _)| rank as u8)
+        let measured = ranks.filter(|(_, error)| error.updated_ms > 0);
+        measured.map(|(rank, _)| rank as u8)
     }
 
-    /// What a forecast for a rank is multiplied by.
+    /// Returns the factor that corrects a rank's forecasts.
     pub fn correction_factor(&self, rank: u8, now_ms: u64) -> f64 {
         let error = &self.ranks[usize::from(rank)];
-        let left = fade(error.seen_ms, now_ms);
-        let taken_ms = error.taken_ms * left + KNOWN_MS;
-        let forecast_ms = error.forecast_ms * left + KNOWN_MS;
-        (taken_ms / forecast_ms).clamp(LEAST, MOST)
+        let decay = decay_since(error.updated_ms, now_ms);
+        let actual_ms = error.actual_ms * decay + PRIOR_MS;
+        let forecast_ms = error.forecast_ms * decay + PRIOR_MS;
+        (actual_ms / forecast_ms).clamp(MIN_FACTOR, MAX_FACTOR)
     }
 }
 
-fn fade(seen_ms: u64, now_ms: u64) -> f64 {
-    (-(now_ms.saturating_sub(seen_ms) as f64) / HALF_LIFE_MS).exp2()
+fn decay_since(updated_ms: u64, now_ms: u64) -> f64 {
+    (-(now_ms.saturating_sub(updated_ms) as f64) / HALF_LIFE_MS).exp2()
 }
 
 #[cfg(test)]
--- a/components/policy/src/admission/memory_forecast.rs
+++ b/components/policy/src/admission/memory_forecast.rs
@@ -1,123 +1,127 @@
-//! Memory run forward: how much of it the engines will have free, by the lengths of what runs, and when a request will
-//! find room behind those that go before it.
+//! Forecast of the engines' free memory from the expected lengths of running answers, and of when a
+//! request will fit behind those ahead of it.
 
 use crate::admission::forecast::MemoryNeed;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
 
-/// Points in time that are looked at.
-pub(crate) const HORIZONS: usize = HORIZONS_TOKENS.len();
-/// How long a look is used before it is taken anew.
-const LOOK_LIFE_MS: u64 = 20;
+/// Number of forecast horizons.
+pub(crate) const HORIZON_COUNT: usize = HORIZONS_TOKENS.len();
+/// Age at which the forecast is stale.
+const REFRESH_INTERVAL_MS: u64 = 20;
 
-/// Share of its memory below which a request that has ended nearly always by then needs no room.
-const HELD_LEAST_SHARE: f64 = 0.05;
+/// Below this share of its peak memory a request has nearly always ended, and needs no memory at
+/// that horizon.
+const NEGLIGIBLE_SHARE: f64 = 0.05;
 
-/// Memory in tokens at each point in time.
-pub(crate) type TokensByHorizon = [f64; HORIZONS];
+/// Memory in tokens at each horizon.
+pub(crate) type TokensByHorizon = [f64; HORIZON_COUNT];
 
-/// The memory that the engines will have free.
+/// Free memory of the engines at each horizon.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MemoryForecast {
-    /// Free memory at each point, over all engines that take work.
+    /// Free memory over all engines that accept work.
     free_tokens: TokensByHorizon,
-    /// When each point is, from now.
-    at_ms: TokensByHorizon,
-    looked_ms: Option<u64>,
+    /// Time from now to each horizon.
+    horizons_ms: TokensByHorizon,
+    refreshed_ms: Option<u64>,
 }
 
 impl MemoryForecast {
-    /// Whether it must be looked at anew.
     pub fn is_stale(&self, now_ms: u64) -> bool {
-        self.looked_ms
-            .is_none_or(|at_ms| now_ms >= at_ms + LOOK_LIFE_MS)
+        self.refreshed_ms
+            .is_none_or(|refreshed_ms| now_ms >= refreshed_ms + REFRESH_INTERVAL_MS)
     }
 
-    /// Looks at all engines. What is left at an engine counts only where a request of `usual_tokens` finds room.
+    /// Recomputes the forecast from all engines. Free memory of an engine counts only if it holds a
+    /// request of `typical_tokens`; smaller remainders fit no request.
     pub fn refresh<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a mut EngineLedger>,
         view: &RoomView<'_>,
-        usual_tokens: f64,
+        typical_tokens: f64,
     ) {
-        let pace = view.tokens_per_ms.max(f64::MIN_POSITIVE);
+        let tokens_per_ms = view.tokens_per_ms.max(f64::MIN_POSITIVE);
         self.free_tokens = TokensByHorizon::default();
-        self.at_ms = HORIZONS_TOKENS.map(|tokens| f64::from(tokens) / pace);
-        self.looked_ms = Some(view.now_ms);
+        self.horizons_ms = HORIZONS_TOKENS.map(|tokens| f64::from(tokens) / tokens_per_ms);
+        self.refreshed_ms = Some(view.now_ms);
         for ledger in engines {
-            let takes = ledger.state == EngineState::Live && ledger.bears_one_more(view.now_ms);
-            if !takes {
+            let accepts_work =
+                ledger.state == EngineState::Live && ledger.bears_one_more(view.now_ms);
+            if !accepts_work {
                 continue;
             }
             let free = ledger.free_ahead(view);
             for (sum, free) in self.free_tokens.iter_mut().zip(free) {
-                *sum += if free >= usual_tokens { free } else { 0.0 };
+                *sum += if free >= typical_tokens { free } else { 0.0 };
             }
         }
     }
 
-    /// Notes that a request was placed since the last look.
+    /// Subtracts a request that was placed since the last refresh.
     pub fn record_placement(&mut self, forecast: &Forecast) {
         for (at, free) in self.free_tokens.iter_mut().enumerate() {
             *free -= forecast.mean_at(at);
         }
     }
 
-    /// Time from now until there is room for a need beside what others take, interpolated between points; that of the last
-    /// point where there never is. From the points on at which the request has nearly always ended it needs nothing.
+    /// Returns the time until `need` fits beside the memory `taken` by others, interpolated between
+    /// horizons, and the last horizon if it never fits. Horizons by which the request has nearly
+    /// always ended are ignored.
     pub fn wait_ms(&self, need: &MemoryNeed, taken: impl Fn(usize) -> f64) -> f64 {
-        let least = need.peak_tokens * HELD_LEAST_SHARE;
-        let mut before: Option<(f64, f64)> = None;
-        for at in 0..HORIZONS {
+        let negligible_tokens = need.peak_tokens * NEGLIGIBLE_SHARE;
+        let mut previous: Option<(f64, f64)> = None;
+        for at in 0..HORIZON_COUNT {
             let spare_at = |later: usize| {
-                let held = if later == at {
+                let needed = if later == at {
                     need.peak_tokens
                 } else {
-                    need.mean[later]
+                    need.mean_tokens[later]
                 };
-                self.free_tokens[later] - taken(later) - held
+                self.free_tokens[later] - taken(later) - needed
             };
-            let holds = |later: &usize| *later == at || need.mean[*later] >= least;
-            let points = (at..HORIZONS).filter(holds);
-            let spare = points.map(spare_at).fold(f64::INFINITY, f64::min);
+            let is_needed =
+                |later: &usize| *later == at || need.mean_tokens[*later] >= negligible_tokens;
+            let horizons = (at..HORIZON_COUNT).filter(is_needed);
+            let spare = horizons.map(spare_at).fold(f64::INFINITY, f64::min);
             if spare < 0.0 {
-                before = Some((spare, self.at_ms[at]));
+                previous = Some((spare, self.horizons_ms[at]));
                 continue;
             }
-            let Some((short, from_ms)) = before else {
+            let Some((shortfall, from_ms)) = previous else {
                 return 0.0;
             };
-            let part = short / (short - spare);
-            return from_ms + part * (self.at_ms[at] - from_ms);
+            let fraction = shortfall / (shortfall - spare);
+            return from_ms + fraction * (self.horizons_ms[at] - from_ms);
         }
-        self.at_ms[HORIZONS - 1]
+        self.horizons_ms[HORIZON_COUNT - 1]
     }
 
-    /// When a point is, from now.
+    /// Returns the time from now to a horizon.
     pub fn horizon_ms(&self, at: usize) -> f64 {
-        self.at_ms[at]
+        self.horizons_ms[at]
     }
 
-    /// Free memory at a point.
     #[cfg(test)]
-    pub fn free_at(&self, at: usize) -> f64 {
+    pub fn free_tokens_at(&self, at: usize) -> f64 {
         self.free_tokens[at]
     }
 }
 
-/// Memory that requests hold on the mean from now until each point, where they begin evenly over that time.
-pub(crate) fn held_until(forecast: &Forecast) -> TokensByHorizon {
-    let mut held = TokensByHorizon::default();
+/// Returns the mean memory use from now to each horizon, for requests that start evenly over that
+/// time.
+pub(crate) fn time_averaged(forecast: &Forecast) -> TokensByHorizon {
+    let mut averaged = TokensByHorizon::default();
     let (mut area, mut last) = (0.0, 0.0);
     for (at, horizon) in HORIZONS_TOKENS.iter().enumerate() {
         let horizon = f64::from(*horizon);
-        let before = if at == 0 { 0 } else { at - 1 };
-        let mean = (forecast.mean_at(before) + forecast.mean_at(at)) / 2.0;
+        let previous = if at == 0 { 0 } else { at - 1 };
+        let mean = (forecast.mean_at(previous) + forecast.mean_at(at)) / 2.0;
         area += mean * (horizon - last);
-        held[at] = area / horizon;
+        averaged[at] = area / horizon;
         last = horizon;
     }
-    held
+    averaged
 }
 
 #[cfg(test)]
--- a/components/policy/src/admission/memory_forecast_tests.rs
+++ b/components/policy/src/admission/memory_forecast_tests.rs
@@ -4,66 +4,66 @@
 use crate::placement::length::LengthModel;
 use prelude::{DataCentreId, TargetId};
 
-/// So much is free at first, and so much more at each point.
-fn room(first_tokens: f64, more_tokens: f64) -> MemoryForecast {
-    let mut room = MemoryForecast::default();
-    for at in 0..HORIZONS {
-        room.free_tokens[at] = first_tokens + more_tokens * at as f64;
-        room.at_ms[at] = 100.0 * at as f64;
+/// Returns a forecast with `first_tokens` free at first and `step_tokens` more at each horizon.
+fn forecast(first_tokens: f64, step_tokens: f64) -> MemoryForecast {
+    let mut forecast = MemoryForecast::default();
+    for at in 0..HORIZON_COUNT {
+        forecast.free_tokens[at] = first_tokens + step_tokens * at as f64;
+        forecast.horizons_ms[at] = 100.0 * at as f64;
     }
-    room
+    forecast
 }
 
-/// The same at any time.
+/// Returns a need of constant size.
 fn need(tokens: f64) -> MemoryNeed {
     MemoryNeed {
         peak_tokens: tokens,
-        mean: [tokens; HORIZONS],
+        mean_tokens: [tokens; HORIZON_COUNT],
         ..MemoryNeed::default()
     }
 }
 
 #[test]
-fn what_ends_soon_fits_though_what_runs_will_grow() {
-    let room = room(1_000.0, -100.0);
+fn a_short_request_fits_while_running_streams_grow() {
+    let forecast = forecast(1_000.0, -100.0);
     let short = MemoryNeed {
-        mean: [0.0; HORIZONS],
+        mean_tokens: [0.0; HORIZON_COUNT],
         ..need(900.0)
     };
-    assert_eq!(room.wait_ms(&short, |_| 0.0), 0.0);
-    assert_eq!(room.wait_ms(&need(900.0), |_| 0.0), 800.0);
+    assert_eq!(forecast.wait_ms(&short, |_| 0.0), 0.0);
+    assert_eq!(forecast.wait_ms(&need(900.0), |_| 0.0), 800.0);
 }
 
 #[test]
-fn a_request_that_fits_now_waits_for_no_memory() {
-    assert_eq!(room(1_000.0, 0.0).wait_ms(&need(1_000.0), |_| 0.0), 0.0);
+fn a_request_that_fits_now_does_not_wait() {
+    assert_eq!(forecast(1_000.0, 0.0).wait_ms(&need(1_000.0), |_| 0.0), 0.0);
 }
 
 #[test]
-fn a_request_waits_until_enough_came_free_beside_what_others_take() {
-    let room = room(0.0, 1_000.0);
-    assert_eq!(room.wait_ms(&need(1_500.0), |_| 0.0), 150.0);
-    assert_eq!(room.wait_ms(&need(1_500.0), |_| 1_000.0), 250.0);
+fn a_request_waits_for_its_need_beside_that_of_others() {
+    let forecast = forecast(0.0, 1_000.0);
+    assert_eq!(forecast.wait_ms(&need(1_500.0), |_| 0.0), 150.0);
+    assert_eq!(forecast.wait_ms(&need(1_500.0), |_| 1_000.0), 250.0);
 }
 
 #[test]
-fn what_never_comes_free_is_waited_for_until_the_last_point() {
-    assert_eq!(room(0.0, 0.0).wait_ms(&need(1.0), |_| 0.0), 800.0);
+fn a_request_that_never_fits_waits_until_the_last_horizon() {
+    assert_eq!(forecast(0.0, 0.0).wait_ms(&need(1.0), |_| 0.0), 800.0);
 }
 
 #[test]
-fn what_was_placed_since_the_look_is_free_no_more() {
-    let mut room = room(1_000.0, 0.0);
+fn placements_since_the_refresh_reduce_free_memory() {
+    let mut forecast = forecast(1_000.0, 0.0);
     let mut short = Forecast::default();
     short.add(600.0, |horizon| f64::from(u8::from(horizon < 40.0)));
-    room.record_placement(&short);
-    assert_eq!(room.free_at(0), 399.0);
-    assert_eq!(room.free_at(HORIZONS - 1), 1_000.0);
-    assert!(room.wait_ms(&need(500.0), |_| 0.0) > 0.0);
+    forecast.record_placement(&short);
+    assert_eq!(forecast.free_tokens_at(0), 399.0);
+    assert_eq!(forecast.free_tokens_at(HORIZON_COUNT - 1), 1_000.0);
+    assert!(forecast.wait_ms(&need(500.0), |_| 0.0) > 0.0);
 }
 
 #[test]
-fn leftovers_of_engines_in_which_nothing_fits_are_no_room() {
+fn ignores_free_memory_too_small_for_a_typical_request() {
     let engine = |id, capacity_tokens| {
         EngineLedger::new(EngineInfo {
             id: TargetId(id),
@@ -86,22 +86,22 @@
         margin: 1.0,
         now_ms: 0,
     };
-    let mut room = MemoryForecast::default();
-    assert!(room.is_stale(0));
-    room.refresh(engines.iter_mut(), &view, 2_000.0);
-    assert_eq!(room.free_at(0), 4_000.0);
-    assert!(!room.is_stale(10));
-    assert!(room.is_stale(20));
+    let mut forecast = MemoryForecast::default();
+    assert!(forecast.is_stale(0));
+    forecast.refresh(engines.iter_mut(), &view, 2_000.0);
+    assert_eq!(forecast.free_tokens_at(0), 4_000.0);
+    assert!(!forecast.is_stale(10));
+    assert!(forecast.is_stale(20));
 }
 
 #[test]
-fn what_ends_soon_holds_little_on_the_mean() {
+fn short_requests_have_a_low_time_average() {
     let mut short = Forecast::default();
     short.add(1_000.0, |horizon| f64::from(u8::from(horizon < 10.0)));
     let mut long = Forecast::default();
     long.add(1_000.0, |_| 1.0);
-    let (short, long) = (held_until(&short), held_until(&long));
-    assert!(short[HORIZONS - 1] < 20.0, "{short:?}");
-    assert!(long[HORIZONS - 1] > 2_000.0, "{long:?}");
+    let (short, long) = (time_averaged(&short), time_averaged(&long));
+    assert!(short[HORIZON_COUNT - 1] < 20.0, "{short:?}");
+    assert!(long[HORIZON_COUNT - 1] > 2_000.0, "{long:?}");
     assert!((1_000.0..1_010.0).contains(&short[0]));
 }
--- a/components/policy/src/admission/mod.rs
+++ b/components/policy/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Who waits, in which order, and who is refused.
+//! Admission control: the order in which waiting requests are granted permits, and which requests
+//! are refused.
 
 pub(crate) mod arrivals;
 pub(crate) mod first_token;
--- a/components/policy/src/admission/pending_retries.rs
+++ b/components/policy/src/admission/pending_retries.rs
@@ -1,58 +1,64 @@
-//! Callers that were refused and told when to come back. Their room counts as taken when the next one is told a time, so
-//! that those who come back find room and don't come together.
+//! Refused callers that were given a retry time. Their memory and prefill count as taken when
+//! further retry times are computed, so that callers find capacity when they retry and do not all
+//! retry at once.
 
 use crate::admission::forecast::{MemoryNeed, QueueAhead};
 use crate::admission::prefill_simulation::PrefillSimulation;
 use crate::demand::Demand;
 use std::collections::VecDeque;
 
-/// Callers that are remembered at a time; beyond that the oldest is forgotten.
-const KEPT_MOST: usize = 1_000;
+/// Maximum number of retries kept; the oldest is dropped.
+const MAX_PENDING: usize = 1_000;
 
-/// A caller that will come back.
+/// A refused caller that is expected to retry.
 #[derive(Clone, Copy, Debug)]
-struct Caller {
-    back_ms: u64,
+struct PendingRetry {
+    retry_ms: u64,
     /// Whether its account floods, and its rank.
-    turn: (bool, u8),
+    priority: (bool, u8),
     prompt_tokens: u32,
     need: MemoryNeed,
 }
 
-/// Callers that will come back.
+/// The expected retries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingRetries {
-    callers: VecDeque<Caller>,
+    pending: VecDeque<PendingRetry>,
 }
 
 impl PendingRetries {
-    /// Notes when a caller was told to come back.
-    pub fn told(&mut self, demand: &Demand, need: &MemoryNeed, floods: bool, back_ms: u64) {
-        if self.callers.len() >= KEPT_MOST {
-            self.callers.pop_front();
+    /// Adds a retry expected at `retry_ms`.
+    pub fn record(&mut self, demand: &Demand, need: &MemoryNeed, is_flooding: bool, retry_ms: u64) {
+        if self.pending.len() >= MAX_PENDING {
+            self.pending.pop_front();
         }
-        let caller = Caller {
-            back_ms,
-            turn: (floods, demand.rank_in_use()),
+        let retry = PendingRetry {
+            retry_ms,
+            priority: (is_flooding, demand.rank_in_use()),
             prompt_tokens: demand.prompt_tokens,
             need: *need,
         };
-        self.callers.push_back(caller);
+        self.pending.push_back(retry);
     }
 
-    /// Adds the callers who have still to come back, of a rank and of more urgent ones, to what goes before a request; those
-    /// of accounts that flood only to what goes before their like.
+    /// Drops retries whose time has passed, and adds those that are served before `priority` to
+    /// `queue_ahead` and `simulation`. Retries of flooding accounts are added for flooding accounts
+    /// alone.
     pub fn add_to(
         &mut self,
-        before: &mut QueueAhead,
-        run: &mut PrefillSimulation,
-        turn: (bool, u8),
+        queue_ahead: &mut QueueAhead,
+        simulation: &mut PrefillSimulation,
+        priority: (bool, u8),
         now_ms: u64,
     ) {
-        self.callers.retain(|caller| caller.back_ms > now_ms);
-        for caller in self.callers.iter().filter(|caller| caller.turn <= turn) {
-            before.hold(&caller.need.held);
-            run.read(caller.prompt_tokens);
+        self.pending.retain(|retry| retry.retry_ms > now_ms);
+        for retry in self
+            .pending
+            .iter()
+            .filter(|retry| retry.priority <= priority)
+        {
+            queue_ahead.add_tokens(&retry.need.time_averaged_tokens);
+            simulation.enqueue(retry.prompt_tokens);
         }
     }
 }
--- a/components/policy/src/admission/prefill_reserve.rs
+++ b/components/policy/src/admission/prefill_reserve.rs
@@ -1,60 +1,64 @@
-//! Reading that is kept for work that goes first and is likely to come. An engine reads one prompt after another, so that a
-//! prompt that may wait for seconds holds up one that is due sooner and comes a moment later. A request that goes behind
-//! others is therefore placed only while enough engines will have read what they have by the time its own prompt is read,
-//! for what goes first and comes until then by the rate of the last second or two: more urgent requests, and for an account
-//! that asks for more than all others together those of the others.
+//! Engines kept free for the prefill of requests that are served first and are likely to arrive. An
+//! engine processes prompts one after another, so the prompt of a request that can wait for seconds
+//! delays an urgent request that arrives a moment later. A lower-priority request is therefore
+//! placed only while enough engines will have finished their prefill backlog within its own prefill
+//! time. The number follows from the arrival rate of the last second or two: of more urgent
+//! requests, and for an account that asks for more than all others together, of the others'
+//! requests.
 //!
-//! Nothing is kept where nothing else comes: what came is forgotten by half within a second.
+//! No engine is reserved without such arrivals: arrivals have a half-life of one second.
 
 use crate::admission::queue::QueueKey;
 use crate::demand::{Demand, RANKS};
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::Pool;
 
-/// Share of the more urgent requests that are likely to come for which an engine is left free. The others come while
-/// one becomes free, and wait for a part of one prompt.
-const KEPT_SHARE: f64 = 0.5;
-/// Standard deviations of how many come that are kept beside their mean where an account floods: callers of other accounts
-/// find an engine free in 97 of 100 cases.
-const KEPT_DEVIATIONS: f64 = 2.0;
+/// Engines reserved per expected arrival of a more urgent request. The remaining arrivals find an
+/// engine that becomes idle meanwhile, and wait for part of one prompt.
+const RESERVED_SHARE: f64 = 0.5;
+/// Standard deviations added to the mean number of arrivals while an account dominates demand.
+/// Callers of other accounts then find an idle engine in 97 of 100 cases.
+const RESERVED_DEVIATIONS: f64 = 2.0;
 
 impl Pool {
-    /// Whether the first request of a place leaves enough engines free to read for what is likely to come and goes first.
-    pub(crate) fn leaves_prefill_reserve(&self, place: QueueKey, now_ms: u64) -> bool {
-        let Some(demand) = self.queue.front(place) else {
+    /// Returns whether granting the first request of a sub-queue leaves enough engines for the
+    /// expected requests that are served before it.
+    pub(crate) fn leaves_prefill_reserve(&self, queue_key: QueueKey, now_ms: u64) -> bool {
+        let Some(demand) = self.queue.front(queue_key) else {
             return true;
         };
-        let read_ms = self.prefill_ms(demand);
-        let kept = self.kept_engines(demand, read_ms, now_ms);
-        if kept < 1.0 {
+        let prefill_ms = self.prefill_ms(demand);
+        let reserved = self.reserved_engines(demand, prefill_ms, now_ms);
+        if reserved < 1.0 {
             return true;
         }
         let is_free = |ledger: &&EngineLedger| {
             let left_ms = ledger.reading.left_ms(&self.reading_rate, now_ms);
-            ledger.state == EngineState::Live && left_ms <= read_ms
+            ledger.state == EngineState::Live && left_ms <= prefill_ms
         };
-        // More than are kept, or all were looked at.
-        let mut free = self.engines.iter().filter(is_free);
-        free.nth(kept as usize).is_some()
+        // True if more engines than the reserve are free.
+        let mut free_engines = self.engines.iter().filter(is_free);
+        free_engines.nth(reserved as usize).is_some()
     }
 
-    /// Whether a place is of an account that floods and asks for more than all others.
-    pub(crate) fn has_dominant_demand(&self, place: QueueKey) -> bool {
-        let front = self.queue.front(place);
+    /// Returns whether the sub-queue belongs to a flooding account that dominates demand.
+    pub(crate) fn has_dominant_demand(&self, queue_key: QueueKey) -> bool {
+        let front = self.queue.front(queue_key);
         front.is_some_and(|demand| self.tree.has_dominant_demand(&demand.share))
     }
 
-    /// Engines that are kept free while a prompt is read. The requests of accounts that flood are not among what comes.
-    fn kept_engines(&self, demand: &Demand, read_ms: f64, now_ms: u64) -> f64 {
-        let coming = &self.outlook.arrivals;
+    /// Returns the number of engines to reserve during a prefill of `prefill_ms`. Arrivals of
+    /// flooding accounts are not counted.
+    fn reserved_engines(&self, demand: &Demand, prefill_ms: f64, now_ms: u64) -> f64 {
+        let arrivals = &self.outlook.arrivals;
         if self.tree.has_dominant_demand(&demand.share) {
-            let mean = coming.requests_before(RANKS as u8, now_ms) * read_ms;
-            return mean + KEPT_DEVIATIONS * mean.sqrt();
+            let mean = arrivals.urgent_requests_per_ms(RANKS as u8, now_ms) * prefill_ms;
+            return mean + RESERVED_DEVIATIONS * mean.sqrt();
         }
         if !self.settings.protection {
             return 0.0;
         }
-        coming.requests_before(demand.rank_in_use(), now_ms) * read_ms * KEPT_SHARE
+        arrivals.urgent_requests_per_ms(demand.rank_in_use(), now_ms) * prefill_ms * RESERVED_SHARE
     }
 }
 
--- a/components/policy/src/admission/prefill_reserve_tests.rs
+++ b/components/policy/src/admission/prefill_reserve_tests.rs
@@ -5,7 +5,7 @@
 use prelude::{DataCentreId, PermitId, TargetId};
 use rstest::rstest;
 
-/// Four engines that read 5 tokens a millisecond, by what a pool takes for known at first.
+/// Returns a pool of four engines that prefill 5 tokens per millisecond, the initial estimate.
 fn pool(protection: bool) -> Pool {
     let mut pool = Pool::new(PoolSettings {
         first_report_ms: 0,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Urgent requests of the last second, which were read meanwhile.
-fn urgent_came(pool: &mut Pool, count: u64) {
+/// Serves `count` urgent requests evenly within the first second.
+fn serve_urgent_requests(pool: &mut Pool, count: u64) {
     for serial in 0..count {
         let at_ms = serial * 1_000 / count;
         let urgent = request(serial, 0, 1, at_ms);
@@ -49,18 +49,19 @@
     verdicts.iter().filter(is_grant).count()
 }
 
-/// Less urgent prompts that take a second each to read, beside twenty urgent requests a second.
+/// Four less urgent prompts, with a prefill of 1 s each, arrive after urgent requests at
+/// `urgent_count` per second.
 #[rstest]
-#[case::kept(true, 20, 0)]
-#[case::not_kept(false, 20, 4)]
-#[case::nothing_urgent_comes(true, 0, 4)]
-fn engines_are_left_free_to_read_only_where_urgent_work_comes(
+#[case::reserved(true, 20, 0)]
+#[case::protection_is_off(false, 20, 4)]
+#[case::no_urgent_arrivals(true, 0, 4)]
+fn reserves_engines_for_prefill_only_while_urgent_requests_arrive(
     #[case] protection: bool,
-    #[case] urgent: u64,
+    #[case] urgent_count: u64,
     #[case] expected: usize,
 ) {
     let mut pool = pool(protection);
-    urgent_came(&mut pool, urgent);
+    serve_urgent_requests(&mut pool, urgent_count);
     for serial in 0..4 {
         pool.submit(request(100 + serial, 2, 5_000, 1_000), 1_000);
     }
@@ -68,19 +69,19 @@
 }
 
 #[test]
-fn nothing_is_kept_a_few_seconds_after_the_last_urgent_request() {
+fn releases_the_reserve_seconds_after_the_last_urgent_request() {
     let mut pool = pool(true);
-    urgent_came(&mut pool, 20);
+    serve_urgent_requests(&mut pool, 20);
     pool.submit(request(100, 2, 5_000, 1_000), 1_000);
     assert_eq!(granted(&pool.run(1_000)), 0);
     assert_eq!(granted(&pool.run(4_000)), 1);
 }
 
-/// An urgent request that is too long for the room there is, and a short one that would fit and is less urgent.
+/// An urgent request is too long for the free memory; a short, less urgent one would fit.
 #[rstest]
-#[case::it_can_wait(20_000, 0)]
-#[case::it_would_miss_its_goal(1_080, 1)]
-fn what_is_less_urgent_takes_no_hole_that_the_urgent_wait_for(
+#[case::can_wait(20_000, 0)]
+#[case::would_miss_its_goal(1_080, 1)]
+fn less_urgent_requests_leave_free_memory_to_a_waiting_urgent_one(
     #[case] deadline_ms: u64,
     #[case] expected: usize,
 ) {
@@ -105,26 +106,27 @@
 }
 
 #[test]
-fn urgent_requests_are_not_held_back_for_each_other() {
+fn urgent_requests_are_not_delayed_for_each_other() {
     let mut pool = pool(true);
-    urgent_came(&mut pool, 40);
+    serve_urgent_requests(&mut pool, 40);
     pool.submit(request(100, 0, 5_000, 1_000), 1_000);
     assert_eq!(granted(&pool.run(1_000)), 1);
 }
 
-/// Four requests of an account that asked for nearly all that came, beside so many requests of four others.
+/// An account that requested nearly all tokens sends four requests, after `other_count` requests of
+/// four other accounts.
 #[rstest]
-#[case::kept_for_the_others(20, 0)]
-#[case::the_others_come_rarely(1, 4)]
-fn an_account_that_floods_leaves_engines_free_to_read_for_the_others(
-    #[case] others: u64,
+#[case::others_arrive_often(20, 0)]
+#[case::others_arrive_rarely(1, 4)]
+fn a_flooding_account_leaves_engines_free_for_other_accounts(
+    #[case] other_count: u64,
     #[case] expected: usize,
 ) {
     let mut pool = pool(false);
     for account in 2..6 {
         pool.tree.record_arrival(&demand(0, account, 0).share, 1);
     }
-    urgent_came(&mut pool, others);
+    serve_urgent_requests(&mut pool, other_count);
     for serial in 0..4 {
         let flooding = Demand {
             share: demand(0, 9, 0).share,
--- a/components/policy/src/admission/prefill_simulation.rs
+++ b/components/policy/src/admission/prefill_simulation.rs
@@ -1,60 +1,60 @@
-//! A run of the pool forward: when the requests that wait will be read, in the order in which they are served, by
-//! engines that each read one prompt after another.
+//! Simulation of prefill: when the prompts of waiting requests are processed, in the order of
+//! service, by engines that each process one prompt after another.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// An engine that reads prompts.
+/// Prefill state of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillEngine {
-    /// Time until it has read what it was sent.
-    pub left_ms: f64,
-    /// Tokens that it reads in a millisecond.
+    /// Time to finish the prompts sent to it.
+    pub backlog_ms: f64,
+    /// Prefill throughput.
     pub tokens_per_ms: f64,
 }
 
-/// Microseconds, so that times can be ordered.
+/// Converts to microseconds, so that times can be ordered.
 fn micros(ms: f64) -> u64 {
     (ms.max(0.0) * 1000.0) as u64
 }
 
-/// A look-ahead simulation of the engines, as they read one prompt after another.
+/// Simulated prefill queues of all engines.
 #[derive(Clone, Debug)]
 pub struct PrefillSimulation {
-    rates: Vec<f64>,
-    free: BinaryHeap<Reverse<(u64, usize)>>,
+    tokens_per_ms_by_engine: Vec<f64>,
+    idle_times: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
 impl PrefillSimulation {
-    /// The engines as they are now.
-    pub fn new(readers: &[PrefillEngine]) -> Self {
-        let free = readers.iter().enumerate();
+    /// Starts from the engines' current backlogs.
+    pub fn new(engines: &[PrefillEngine]) -> Self {
+        let indexed_engines = engines.iter().enumerate();
         Self {
-            rates: readers.iter().map(|reader| reader.tokens_per_ms).collect(),
-            free: free
-                .map(|(at, reader)| Reverse((micros(reader.left_ms), at)))
+            tokens_per_ms_by_engine: engines.iter().map(|engine| engine.tokens_per_ms).collect(),
+            idle_times: indexed_engines
+                .map(|(at, engine)| Reverse((micros(engine.backlog_ms), at)))
                 .collect(),
         }
     }
 
-    /// Tokens that all engines read in a millisecond.
+    /// Returns the prefill throughput of all engines together.
     pub fn tokens_per_ms(&self) -> f64 {
-        self.rates.iter().sum()
+        self.tokens_per_ms_by_engine.iter().sum()
     }
 
-    /// Time until a prompt that goes next is read; none where no engine reads.
+    /// Returns the time to the first token of the next prompt, or `None` without engines.
     pub fn first_token_ms(&self, tokens: u32) -> Option<f64> {
-        let Reverse((free_us, at)) = self.free.peek()?;
-        Some(*free_us as f64 / 1000.0 + f64::from(tokens) / self.rates[*at])
+        let Reverse((idle_us, at)) = self.idle_times.peek()?;
+        Some(*idle_us as f64 / 1000.0 + f64::from(tokens) / self.tokens_per_ms_by_engine[*at])
     }
 
-    /// Has the engine that is free first read a prompt.
-    pub fn read(&mut self, tokens: u32) {
-        let Some(Reverse((free_us, at))) = self.free.pop() else {
+    /// Assigns a prompt to the engine that becomes idle first.
+    pub fn enqueue(&mut self, tokens: u32) {
+        let Some(Reverse((idle_us, at))) = self.idle_times.pop() else {
             return;
         };
-        let read_us = micros(f64::from(tokens) / self.rates[at]);
-        self.free.push(Reverse((free_us + read_us, at)));
+        let prefill_us = micros(f64::from(tokens) / self.tokens_per_ms_by_engine[at]);
+        self.idle_times.push(Reverse((idle_us + prefill_us, at)));
     }
 }
 
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -1,10 +1,12 @@
-//! Requests that wait for a permit, by account and rank.
+//! Requests that wait for a permit, in one sub-queue per account and rank.
 //!
-//! The more urgent rank goes first. A request that would miss its goal goes next although more urgent ones wait, at most
-//! once in [`GRANTS_PER_TURN`] grants: a more urgent caller waits for one grant in ten more, and a less urgent one is not
-//! left out for ever. Requests of an account that floods go behind all others. Within a rank the account that was served
-//! least goes first. Within an account the request whose caller leaves first goes first, then the one that has to begin first: a
-//! caller that came back after a refusal has the least time left, and a second refusal is mostly final.
+//! More urgent ranks are served first. A request that is about to miss its goal is promoted ahead
+//! of more urgent ranks, at most once in [`GRANTS_PER_PROMOTION`] grants: urgent callers wait for
+//! one grant in ten more, and less urgent ones are not starved. Requests of flooding accounts are
+//! served after all others. Within a rank the account with the least service is served first.
+//! Within an account requests are ordered by when their callers leave, then by their latest start:
+//! a caller that retries after a refusal has the least time left, and a second refusal is mostly
+//! final.
 
 use crate::admission::forecast::{MemoryNeed, QueueAhead};
 use crate::admission::prefill_simulation::PrefillSimulation;
@@ -13,14 +15,16 @@
 use prelude::{AccountId, PermitId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Of so many grants one may go to a less urgent request that would miss its goal. More urgent ones then get nine of ten.
-const GRANTS_PER_TURN: u32 = 10;
-/// A request that must begin within this time would miss its goal: some looks at the queue, and the way to the engine.
-const DUE_AHEAD_MS: u64 = 100;
-/// A wait that callers notice: a small part of any goal for a first token.
+/// Grants per promotion of a less urgent request that would miss its goal. The other nine of ten go
+/// to more urgent requests.
+const GRANTS_PER_PROMOTION: u32 = 10;
+/// A request whose latest start is within this time is about to miss its goal. Covers a few
+/// scheduling passes and the way to the engine.
+const DUE_WITHIN_MS: u64 = 100;
+/// A wait that callers notice; small against any first-token goal.
 const LONG_WAIT_MS: u64 = 60;
 
-/// A line of the queue: the requests of one account and rank.
+/// Identifies a sub-queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct QueueKey {
     account: AccountId,
@@ -36,34 +40,33 @@
     }
 }
 
-/// A request that waits.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     demand: Demand,
-    /// When it must begin to be read at the latest.
-    begins_by_ms: u64,
-    /// The memory that it needs.
+    /// Latest time at which its prefill must start.
+    start_by_ms: u64,
+    /// Expected memory use.
     need: MemoryNeed,
 }
 
-impl Waiting {
-    /// Its order among those of its account and rank.
+impl WaitingRequest {
+    /// Sort key within its sub-queue.
     fn key(&self) -> (u64, u64, u64) {
         let demand = &self.demand;
-        (demand.leaves_ms, self.begins_by_ms, demand.since_ms)
+        (demand.leaves_ms, self.start_by_ms, demand.since_ms)
     }
 }
 
-/// The order in which places are served: those of accounts that flood last, those that get a turn first, then by rank, by
-/// service, by when they must begin, and by account, so that the order never hangs on chance.
-type Order = (bool, bool, u8, [f64; 3], u64, AccountId);
+/// Sort key of sub-queues: non-flooding accounts first, then promoted requests, rank, service by
+/// level, latest start, and account as a deterministic tie-breaker.
+type ServiceOrder = (bool, bool, u8, [f64; 3], u64, AccountId);
 
-/// All requests that wait.
+/// The sub-queues of all accounts and ranks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    lines: BTreeMap<QueueKey, VecDeque<Waiting>>,
+    subqueues: BTreeMap<QueueKey, VecDeque<WaitingRequest>>,
     len: usize,
-    grants_since_turn: u32,
+    grants_since_promotion: u32,
 }
 
 impl Queue {
@@ -71,242 +74,268 @@
         self.len
     }
 
-    /// For each rank, whether a request of it waits.
+    /// Returns, for each rank, whether a request waits.
     pub fn ranks(&self) -> [bool; RANKS] {
         let mut ranks = [false; RANKS];
-        for place in self.lines.keys() {
-            ranks[usize::from(place.rank)] = true;
+        for queue_key in self.subqueues.keys() {
+            ranks[usize::from(queue_key.rank)] = true;
         }
         ranks
     }
 
-    /// How many requests wait that are as urgent as a rank, or more.
-    pub fn len_up_to(&self, rank: u8) -> usize {
-        let urgent = self.lines.iter().filter(|(at, _)| at.rank <= rank);
-        urgent.map(|(_, line)| line.len()).sum()
+    /// Returns the number of requests that wait at `rank` or at more urgent ranks.
+    pub fn len_up_to_rank(&self, rank: u8) -> usize {
+        let subqueues = self
+            .subqueues
+            .iter()
+            .filter(|(queue_key, _)| queue_key.rank <= rank);
+        subqueues.map(|(_, subqueue)| subqueue.len()).sum()
     }
 
-    /// How many requests of an account wait.
-    pub fn len_of(&self, account: AccountId) -> usize {
-        let of_account = self.lines.iter().filter(|(at, _)| at.account == account);
-        of_account.map(|(_, line)| line.len()).sum()
+    /// Returns the number of waiting requests of an account.
+    pub fn len_of_account(&self, account: AccountId) -> usize {
+        let subqueues = self
+            .subqueues
+            .iter()
+            .filter(|(queue_key, _)| queue_key.account == account);
+        subqueues.map(|(_, subqueue)| subqueue.len()).sum()
     }
 
-    /// The account's part of the weights of all accounts that wait, were it to wait too.
+    /// Returns the account's fraction of the weights of all waiting accounts, counting the account
+    /// itself as waiting.
     pub fn weight_part(&self, share: &Share) -> f64 {
         let weight =
             |share: &Share| share.partner_weight * share.owner_weight * share.account_weight;
         let mut others = 0.0;
-        let mut last = None;
-        for (place, line) in &self.lines {
-            let is_counted = last == Some(place.account) || place.account == share.account;
-            last = Some(place.account);
-            if let Some(front) = line.front().filter(|_| !is_counted) {
+        let mut last_account = None;
+        for (queue_key, subqueue) in &self.subqueues {
+            let is_counted =
+                last_account == Some(queue_key.account) || queue_key.account == share.account;
+            last_account = Some(queue_key.account);
+            if let Some(front) = subqueue.front().filter(|_| !is_counted) {
                 others += weight(&front.demand.share);
             }
         }
         weight(share) / (weight(share) + others)
     }
 
-    /// Adds a request, whose prompt must begin to be read by `begins_by_ms`, to its line: by when callers leave, then by when
-    /// they must begin, then by when they came, as boxes ask a new dispatcher in any order.
-    pub fn push(&mut self, demand: Demand, begins_by_ms: u64, need: MemoryNeed) {
-        let line = self.lines.entry(QueueKey::of(&demand)).or_default();
-        let waiting = Waiting {
+    /// Inserts a request, whose prefill must start by `start_by_ms`, into its sub-queue. Sorts by
+    /// when callers leave, latest start and arrival, as boxes send their requests to a new
+    /// dispatcher in any order.
+    pub fn push(&mut self, demand: Demand, start_by_ms: u64, need: MemoryNeed) {
+        let subqueue = self.subqueues.entry(QueueKey::of(&demand)).or_default();
+        let waiting = WaitingRequest {
             demand,
-            begins_by_ms,
+            start_by_ms,
             need,
         };
         let key = waiting.key();
-        let at = line.partition_point(|other| other.key() <= key);
-        line.insert(at, waiting);
+        let at = subqueue.partition_point(|other| other.key() <= key);
+        subqueue.insert(at, waiting);
         self.len += 1;
     }
 
-    /// The next place to serve that is not among `passed`.
+    /// Returns the next sub-queue to serve, except those in `skipped`.
     pub fn next(
         &self,
         tree: &FairTree,
-        passed: &HashSet<QueueKey>,
+        skipped: &HashSet<QueueKey>,
         now_ms: u64,
     ) -> Option<QueueKey> {
-        let mut best: Option<(Order, QueueKey)> = None;
-        for (place, line) in &self.lines {
-            let Some(front) = line.front().filter(|_| !passed.contains(place)) else {
+        let mut best: Option<(ServiceOrder, QueueKey)> = None;
+        for (queue_key, subqueue) in &self.subqueues {
+            let Some(front) = subqueue.front().filter(|_| !skipped.contains(queue_key)) else {
                 continue;
             };
             let share = &front.demand.share;
-            let floods = tree.is_flooding(share);
+            let is_flooding = tree.is_flooding(share);
             if tree.would_exceed_cap(share, front.demand.prompt_tokens)
-                || (floods && tree.is_headroom_reserved())
+                || (is_flooding && tree.is_headroom_reserved())
             {
                 continue;
             }
-            let has_turn = self.has_turn(*place, front, now_ms);
+            let is_promoted = self.is_promoted(*queue_key, front, now_ms);
             let service = tree.service_ms_by_level(share);
-            let order: Order = (
-                floods,
-                !has_turn,
-                place.rank,
+            let order: ServiceOrder = (
+                is_flooding,
+                !is_promoted,
+                queue_key.rank,
                 service,
-                front.begins_by_ms,
-                place.account,
+                front.start_by_ms,
+                queue_key.account,
             );
             if best.as_ref().is_none_or(|(other, _)| order < *other) {
-                best = Some((order, *place));
+                best = Some((order, *queue_key));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, queue_key)| queue_key)
     }
 
-    /// Whether a request goes before those that are more urgent.
-    fn has_turn(&self, place: QueueKey, front: &Waiting, now_ms: u64) -> bool {
-        let is_due = front.begins_by_ms <= now_ms + DUE_AHEAD_MS;
-        is_due && self.grants_since_turn + 1 >= GRANTS_PER_TURN && self.is_behind(place.rank)
+    /// Returns whether a request is served ahead of more urgent ranks.
+    fn is_promoted(&self, queue_key: QueueKey, front: &WaitingRequest, now_ms: u64) -> bool {
+        let is_due = front.start_by_ms <= now_ms + DUE_WITHIN_MS;
+        is_due
+            && self.grants_since_promotion + 1 >= GRANTS_PER_PROMOTION
+            && self.has_more_urgent(queue_key.rank)
     }
 
-    /// Whether a place leaves room to a more urgent one that fits nowhere yet: it takes no hole that would become large
-    /// enough. Not where it would miss its own goal.
-    pub fn yields_to(&self, place: QueueKey, to: Option<QueueKey>, now_ms: u64) -> bool {
-        let front = self.lines.get(&place).and_then(VecDeque::front);
-        let is_due = front.is_some_and(|front| front.begins_by_ms <= now_ms + DUE_AHEAD_MS);
-        !is_due && to.is_some_and(|to| to.rank < place.rank)
+    /// Returns whether a request leaves free memory to a more urgent one that fits on no engine
+    /// yet, so that enough of it builds up. A request that would miss its own goal does not yield.
+    pub fn yields_to(&self, queue_key: QueueKey, to: Option<QueueKey>, now_ms: u64) -> bool {
+        let front = self.subqueues.get(&queue_key).and_then(VecDeque::front);
+        let is_due = front.is_some_and(|front| front.start_by_ms <= now_ms + DUE_WITHIN_MS);
+        !is_due && to.is_some_and(|to| to.rank < queue_key.rank)
     }
 
-    fn is_behind(&self, rank: u8) -> bool {
-        self.lines.keys().any(|place| place.rank < rank)
+    fn has_more_urgent(&self, rank: u8) -> bool {
+        self.subqueues.keys().any(|queue_key| queue_key.rank < rank)
     }
 
-    /// Whether a request of an account that does not flood has waited for long.
+    /// Returns whether a request of a non-flooding account has waited for [`LONG_WAIT_MS`].
     pub fn has_long_non_flooding_wait(&self, tree: &FairTree, now_ms: u64) -> bool {
-        self.lines.values().any(|line| {
-            let front = line.front().map(|waiting| &waiting.demand);
-            let long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
-            long.is_some_and(|demand| !tree.is_flooding(&demand.share))
+        self.subqueues.values().any(|subqueue| {
+            let front = subqueue.front().map(|waiting| &waiting.demand);
+            let waits_long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
+            waits_long.is_some_and(|demand| !tree.is_flooding(&demand.share))
         })
     }
 
-    pub fn front(&self, place: QueueKey) -> Option<&Demand> {
-        Some(&self.lines.get(&place)?.front()?.demand)
+    pub fn front(&self, queue_key: QueueKey) -> Option<&Demand> {
+        Some(&self.subqueues.get(&queue_key)?.front()?.demand)
     }
 
-    /// All requests that wait, in the order in which they are about to be served, with the memory that each needs.
+    /// Returns all waiting requests in the order of service, with their memory needs.
     pub fn in_order(&self, tree: &FairTree) -> Vec<(&Demand, &MemoryNeed)> {
-        let mut waiting: Vec<(bool, &Waiting)> = Vec::with_capacity(self.len);
-        for line in self.lines.values() {
-            let floods = line
+        let mut waiting: Vec<(bool, &WaitingRequest)> = Vec::with_capacity(self.len);
+        for subqueue in self.subqueues.values() {
+            let is_flooding = subqueue
                 .front()
                 .is_some_and(|w| tree.is_flooding(&w.demand.share));
-            waiting.extend(line.iter().map(|waiting| (floods, waiting)));
+            waiting.extend(subqueue.iter().map(|waiting| (is_flooding, waiting)));
         }
-        waiting.sort_by_key(|(floods, waiting)| {
+        waiting.sort_by_key(|(is_flooding, waiting)| {
             let demand = &waiting.demand;
-            (*floods, demand.rank_in_use(), waiting.key(), demand.permit)
+            (
+                *is_flooding,
+                demand.rank_in_use(),
+                waiting.key(),
+                demand.permit,
+            )
         });
-        let parts = waiting
+        let requests = waiting
             .into_iter()
             .map(|(_, waiting)| (&waiting.demand, &waiting.need));
-        parts.collect()
+        requests.collect()
     }
 
-    /// What goes before a request that is to be read by a time; its prompts are read in the run.
-    pub fn before(
+    /// Sums up the requests served before one with this latest start, and adds their prompts to
+    /// `simulation`.
+    pub fn queue_ahead(
         &self,
         demand: &Demand,
-        begins_by_ms: u64,
+        start_by_ms: u64,
         tree: &FairTree,
-        run: &mut PrefillSimulation,
+        simulation: &mut PrefillSimulation,
     ) -> QueueAhead {
         let rank = demand.rank_in_use();
-        let mut before = QueueAhead::default();
-        for other in self.ahead(demand, begins_by_ms, tree) {
-            before.add(&other.demand, &other.need, rank);
-            run.read(other.demand.prompt_tokens);
+        let mut queue_ahead = QueueAhead::default();
+        for other in self.waiting_ahead(demand, start_by_ms, tree) {
+            queue_ahead.add_request(&other.demand, &other.need, rank);
+            simulation.enqueue(other.demand.prompt_tokens);
         }
-        before
+        queue_ahead
     }
 
-    /// The requests that go before one that is to be read by a time.
-    pub fn requests_before<'a>(
+    /// Returns the requests served before one with this latest start.
+    pub fn requests_ahead<'a>(
         &'a self,
         demand: &'a Demand,
-        begins_by_ms: u64,
+        start_by_ms: u64,
         tree: &'a FairTree,
     ) -> impl Iterator<Item = &'a Demand> {
-        let ahead = self.ahead(demand, begins_by_ms, tree);
-        ahead.map(|waiting| &waiting.demand)
+        let waiting = self.waiting_ahead(demand, start_by_ms, tree);
+        waiting.map(|waiting| &waiting.demand)
     }
 
-    fn ahead<'a>(
+    fn waiting_ahead<'a>(
         &'a self,
         demand: &'a Demand,
-        begins_by_ms: u64,
+        start_by_ms: u64,
         tree: &'a FairTree,
-    ) -> impl Iterator<Item = &'a Waiting> {
-        let turn = (tree.is_flooding(&demand.share), demand.rank_in_use());
-        let key = (demand.leaves_ms, begins_by_ms, demand.since_ms);
-        let lines = self.lines.iter().filter_map(move |(place, line)| {
-            let floods = tree.is_flooding(&line.front()?.demand.share);
-            let other = (floods, place.rank);
-            (other <= turn).then_some((other < turn, line))
-        });
-        lines.flat_map(move |(all, line)| {
-            line.iter()
+    ) -> impl Iterator<Item = &'a WaitingRequest> {
+        let priority = (tree.is_flooding(&demand.share), demand.rank_in_use());
+        let key = (demand.leaves_ms, start_by_ms, demand.since_ms);
+        let subqueues = self
+            .subqueues
+            .iter()
+            .filter_map(move |(queue_key, subqueue)| {
+                let is_flooding = tree.is_flooding(&subqueue.front()?.demand.share);
+                let other = (is_flooding, queue_key.rank);
+                (other <= priority).then_some((other < priority, subqueue))
+            });
+        subqueues.flat_map(move |(all, subqueue)| {
+            subqueue
+                .iter()
                 .take_while(move |other| all || other.key() <= key)
         })
     }
 
-    /// How many requests of a place have waited since `since_ms` or longer, counted up to `most`.
-    pub fn count_since(&self, place: QueueKey, since_ms: u64, most: usize) -> usize {
-        let line = self.lines.get(&place).into_iter().flatten().take(most);
-        line.filter(|waiting| waiting.demand.since_ms <= since_ms)
+    /// Counts the requests of a sub-queue that arrived at or before `since_ms`, up to `max_count`.
+    pub fn count_since(&self, queue_key: QueueKey, since_ms: u64, max_count: usize) -> usize {
+        let subqueue = self
+            .subqueues
+            .get(&queue_key)
+            .into_iter()
+            .flatten()
+            .take(max_count);
+        subqueue
+            .filter(|waiting| waiting.demand.since_ms <= since_ms)
             .count()
     }
 
-    /// Takes the first request of a place for a grant.
-    pub fn pop(&mut self, place: QueueKey, now_ms: u64) -> Option<Demand> {
-        let front = self.lines.get(&place)?.front()?;
-        let has_turn = self.has_turn(place, front, now_ms);
-        let line = self.lines.get_mut(&place)?;
-        let waiting = line.pop_front()?;
-        if line.is_empty() {
-            self.lines.remove(&place);
+    /// Removes the first request of a sub-queue, which is granted.
+    pub fn pop(&mut self, queue_key: QueueKey, now_ms: u64) -> Option<Demand> {
+        let front = self.subqueues.get(&queue_key)?.front()?;
+        let is_promoted = self.is_promoted(queue_key, front, now_ms);
+        let subqueue = self.subqueues.get_mut(&queue_key)?;
+        let waiting = subqueue.pop_front()?;
+        if subqueue.is_empty() {
+            self.subqueues.remove(&queue_key);
         }
         self.len -= 1;
-        self.grants_since_turn = match has_turn {
+        self.grants_since_promotion = match is_promoted {
             true => 0,
-            false => self.grants_since_turn.saturating_add(1),
+            false => self.grants_since_promotion.saturating_add(1),
         };
         Some(waiting.demand)
     }
 
-    /// Takes out every request for which `leaves` holds.
-    pub fn remove_if(&mut self, leaves: impl Fn(&Demand) -> bool) -> Vec<Demand> {
-        let mut taken = Vec::new();
-        for line in self.lines.values_mut() {
-            if !line.iter().any(|waiting| leaves(&waiting.demand)) {
+    /// Removes and returns all requests that match `predicate`.
+    pub fn remove_if(&mut self, predicate: impl Fn(&Demand) -> bool) -> Vec<Demand> {
+        let mut removed = Vec::new();
+        for subqueue in self.subqueues.values_mut() {
+            if !subqueue.iter().any(|waiting| predicate(&waiting.demand)) {
                 continue;
             }
-            let whole = std::mem::take(line).into_iter();
-            let (out, stay): (VecDeque<_>, VecDeque<_>) =
-                whole.partition(|waiting| leaves(&waiting.demand));
-            *line = stay;
-            taken.extend(out.into_iter().map(|waiting| waiting.demand));
+            let drained = std::mem::take(subqueue).into_iter();
+            let (matching, remaining): (VecDeque<_>, VecDeque<_>) =
+                drained.partition(|waiting| predicate(&waiting.demand));
+            *subqueue = remaining;
+            removed.extend(matching.into_iter().map(|waiting| waiting.demand));
         }
-        self.lines.retain(|_, line| !line.is_empty());
-        // In an order that does not hang on chance.
-        taken.sort_by_key(|demand| (demand.since_ms, demand.permit));
-        self.len -= taken.len();
-        taken
+        self.subqueues.retain(|_, subqueue| !subqueue.is_empty());
+        // A deterministic order that does not depend on the sub-queues.
+        removed.sort_by_key(|demand| (demand.since_ms, demand.permit));
+        self.len -= removed.len();
+        removed
     }
 
-    /// Takes out one request.
     pub fn remove(&mut self, permit: PermitId) -> Option<Demand> {
         self.remove_if(|demand| demand.permit == permit).pop()
     }
 
     pub fn contains(&self, permit: PermitId) -> bool {
-        let mut waiting = self.lines.values().flatten();
+        let mut waiting = self.subqueues.values().flatten();
         waiting.any(|waiting| waiting.demand.permit == permit)
     }
 }
--- a/components/policy/src/admission/rate_limit.rs
+++ b/components/policy/src/admission/rate_limit.rs
@@ -1,4 +1,4 @@
-//! How long a request waits where every engine of its pool names a rate limit.
+//! Waiting time while every engine of a pool has a rate limit.
 
 use crate::demand::Demand;
 use crate::placement::ledger::EngineState;
@@ -7,18 +7,19 @@
 use prelude::{Refusal, RefusalReason};
 
 impl Pool {
-    /// Refuses a request that no engine can be sent by its deadline, with the time after which one can.
-    pub(crate) fn beyond_rates(&self, demand: &Demand, now_ms: u64) -> Option<Refusal> {
-        let wait_ms = self.rate_wait_ms(demand.rank_in_use(), now_ms)?;
+    /// Refuses a request if the rate limits leave no send before its deadline, with the time until
+    /// they do.
+    pub(crate) fn rate_limit_refusal(&self, demand: &Demand, now_ms: u64) -> Option<Refusal> {
+        let wait_ms = self.rate_limit_wait_ms(demand.rank_in_use(), now_ms)?;
         (now_ms + wait_ms > demand.deadline_ms).then_some(Refusal {
             reason: RefusalReason::Crowded,
             retry_after_ms: Some(wait_ms),
         })
     }
 
-    /// How long until the engines' limits let a request of a rank through, behind those that wait; none where some engine that
-    /// takes work has no limit.
-    fn rate_wait_ms(&self, rank: u8, now_ms: u64) -> Option<u64> {
+    /// Returns the time until the rate limits let a request of `rank` through, behind those that
+    /// wait, or `None` if an engine that accepts work has no limit.
+    fn rate_limit_wait_ms(&self, rank: u8, now_ms: u64) -> Option<u64> {
         if self.rate_limited.is_empty() || self.rate_limited.len() < self.engines.live_count() {
             return None;
         }
@@ -33,8 +34,8 @@
         }
         let rate_per_s: f64 = tokens.iter().map(|(rate_per_s, _)| rate_per_s).sum();
         let saved: f64 = tokens.iter().map(|(_, bucket)| bucket.saved()).sum();
-        let lacking = (self.queue.len_up_to(rank) + 1) as f64 - saved;
-        Some((lacking.max(0.0) / (rate_per_s * USED_SHARE) * 1_000.0) as u64)
+        let missing = (self.queue.len_up_to_rank(rank) + 1) as f64 - saved;
+        Some((missing.max(0.0) / (rate_per_s * USED_SHARE) * 1_000.0) as u64)
     }
 }
 
--- a/components/policy/src/admission/rate_limit_tests.rs
+++ b/components/policy/src/admission/rate_limit_tests.rs
@@ -26,7 +26,8 @@
     pool
 }
 
-/// Where requests are placed within ten seconds, where one comes each 50 ms, waits for its deadline, and runs for 100 ms.
+/// Returns the placements of ten seconds, with a request every 50 ms that waits up to its deadline
+/// and runs for 100 ms.
 fn placed(pool: &mut Pool) -> Vec<(u64, TargetId)> {
     let mut placed = Vec::new();
     let mut running = Vec::new();
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn an_engine_is_given_no_more_than_its_rate_limit_and_the_other_the_rest() {
+fn respects_the_rate_limit_of_an_engine_and_uses_the_other() {
     let placed = placed(&mut pool([Some(2.0), None]));
     let at = |engine| placed.iter().filter(|(_, id)| *id == engine).count();
     assert!(at(ENGINES[0]) <= 20, "{}", at(ENGINES[0]));
@@ -65,19 +66,19 @@
 }
 
 #[test]
-fn engines_that_are_all_limited_are_used_to_their_limits_and_the_rest_is_refused_at_once() {
+fn uses_all_rate_limits_fully_and_refuses_the_rest_on_arrival() {
     let mut pool = pool([Some(2.0), Some(3.0)]);
     let placed = placed(&mut pool);
     assert!((40..=50).contains(&placed.len()), "{}", placed.len());
     let Submitted::Refused(refusal) = pool.submit(short(20_000, 10_100), 10_000) else {
-        panic!("it waits");
+        panic!("the request was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
     assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
 }
 
 #[test]
-fn an_engine_whose_limit_ends_takes_requests_again() {
+fn an_engine_accepts_requests_when_its_rate_limit_ends() {
     let mut pool = pool([Some(0.25), Some(0.25)]);
     assert!(matches!(
         pool.submit(demand(1, 1, 1), 0),
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused: at once where they would wait too long, or when their deadline passes.
+//! Refusals: on arrival if the expected wait is too long, and later when a waiting request expires.
 
 use crate::admission::forecast::MemoryNeed;
 use crate::demand::{Demand, Verdict};
@@ -7,96 +7,99 @@
 use prelude::{PermitId, Refusal, RefusalReason};
 use std::collections::HashSet;
 
-/// How often waiting requests are looked over for passed deadlines.
+/// Interval between checks for expired requests.
 const EXPIRY_CHECK_MS: u64 = 20;
-/// Least time after which a refused caller is told to come back.
-const RETRY_AFTER_MIN_MS: u64 = 100;
+/// Minimum retry time of a refused caller.
+const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl Pool {
-    /// Why a request that just came must be refused, if it must.
+    /// Returns a refusal if an arriving request cannot be served in time or fits no engine.
     pub(crate) fn refusal(
         &mut self,
         demand: &Demand,
         need: &MemoryNeed,
         now_ms: u64,
     ) -> Option<Refusal> {
-        let Some(largest) = self.engines.largest_tokens() else {
+        let Some(max_tokens) = self.engines.largest_tokens() else {
             return Some(Refusal {
                 reason: RefusalReason::NoTarget,
                 retry_after_ms: Some(1000),
             });
         };
-        if u64::from(demand.prompt_tokens) >= largest {
+        if u64::from(demand.prompt_tokens) >= max_tokens {
             return Some(Refusal {
                 reason: RefusalReason::TooLarge,
                 retry_after_ms: None,
             });
         }
-        let beyond_rates = self.beyond_rates(demand, now_ms);
-        if beyond_rates.is_some() {
-            return beyond_rates;
+        let rate_limited = self.rate_limit_refusal(demand, now_ms);
+        if rate_limited.is_some() {
+            return rate_limited;
         }
-        // What fits nowhere says nothing of what needs room, and no room is kept for what goes behind all others.
+        // Requests that fit no engine say nothing about demand, and no capacity is reserved for
+        // flooding accounts.
         if !self.tree.is_flooding(&demand.share) {
-            self.outlook.arrivals.came(demand, need, now_ms);
+            self.outlook.arrivals.record(demand, need, now_ms);
         }
         if self.settings.waiting == WaitingPolicy::FirstToken {
-            return self.too_late(demand, need, now_ms);
+            return self.late_refusal(demand, need, now_ms);
         }
         let wait_ms = self.expected_wait_ms(demand)?;
         let left_ms = demand.deadline_ms.saturating_sub(now_ms);
         (wait_ms > left_ms).then(|| Refusal {
             reason: RefusalReason::Crowded,
-            retry_after_ms: Some((wait_ms - left_ms).max(RETRY_AFTER_MIN_MS)),
+            retry_after_ms: Some((wait_ms - left_ms).max(MIN_RETRY_AFTER_MS)),
         })
     }
 
-    /// How long a new request would wait, from the pace of grants; none where none is known.
+    /// Returns a new request's expected wait from the grant rate, or `None` if the rate is unknown.
     fn expected_wait_ms(&self, demand: &Demand) -> Option<u64> {
         if self.queue.len() == 0 {
             return Some(0);
         }
         let ms_per_grant = self.pace.ms_per_grant()?;
-        let part = self.queue.weight_part(&demand.share);
-        let own_ahead = self.queue.len_of(demand.share.account) as f64 / part;
-        let ahead = own_ahead.min(self.queue.len() as f64);
+        let weight_part = self.queue.weight_part(&demand.share);
+        let account_ahead = self.queue.len_of_account(demand.share.account) as f64 / weight_part;
+        let ahead = account_ahead.min(self.queue.len() as f64);
         Some((ahead * ms_per_grant) as u64)
     }
 
-    /// Refuses what has waited until its deadline.
+    /// Refuses requests that have waited past their deadline.
     pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         if now_ms < self.expiry_ms {
             return Vec::new();
         }
         self.expiry_ms = now_ms + EXPIRY_CHECK_MS;
-        let forecasts = self.settings.waiting == WaitingPolicy::FirstToken;
-        let mut verdicts = match forecasts {
-            true => self.refuse_early(now_ms),
+        let uses_forecasts = self.settings.waiting == WaitingPolicy::FirstToken;
+        let mut verdicts = match uses_forecasts {
+            true => self.refuse_late_forecasts(now_ms),
             false => Vec::new(),
         };
-        let over = |demand: &Demand| match forecasts {
+        let is_expired = |demand: &Demand| match uses_forecasts {
             true => self.start_by_ms(demand) <= now_ms,
             false => demand.deadline_ms <= now_ms,
         };
-        let over: HashSet<PermitId> = self
+        let expired_permits: HashSet<PermitId> = self
             .queue
             .in_order(&self.tree)
             .into_iter()
-            .filter(|(demand, _)| over(demand))
+            .filter(|(demand, _)| is_expired(demand))
             .map(|(demand, _)| demand.permit)
             .collect();
-        let expired = self.queue.remove_if(|demand| over.contains(&demand.permit));
+        let expired = self
+            .queue
+            .remove_if(|demand| expired_permits.contains(&demand.permit));
         for demand in expired {
             self.tree.remove_waiting(&demand.share);
             self.usage.record_refusal(&demand);
-            // Its first token would have come after its prompt was read, at the soonest.
-            let read_ms = self.prefill_ms(&demand) as u64;
+            // Its first token could not have come before the end of its prefill.
+            let prefill_ms = self.prefill_ms(&demand) as u64;
             let errors = &mut self.outlook.errors;
-            errors.record_first_token(demand.permit, now_ms.saturating_add(read_ms));
+            errors.record_first_token(demand.permit, now_ms.saturating_add(prefill_ms));
             let wait_ms = self.expected_wait_ms(&demand).unwrap_or(0);
             let refusal = Refusal {
                 reason: RefusalReason::DeadlinePassed,
-                retry_after_ms: Some(wait_ms.max(RETRY_AFTER_MIN_MS)),
+                retry_after_ms: Some(wait_ms.max(MIN_RETRY_AFTER_MS)),
             };
             verdicts.push((demand.permit, Verdict::Refused(refusal)));
         }
--- a/components/policy/src/admission/test_demands.rs
+++ b/components/policy/src/admission/test_demands.rs
@@ -1,11 +1,11 @@
-//! Requests for tests of this folder.
+//! Requests for the tests of this module.
 
 use crate::demand::Demand;
 use crate::fairness::tree::Share;
 use crate::placement::length::LengthClass;
 use prelude::{AccountId, Avoided, BoxId, OwnerId, PartnerId, PermitId};
 
-/// A request of 1,000 prompt tokens, due after 5 s.
+/// Returns a request with 1,000 prompt tokens that is due at 5 s.
 pub(crate) fn demand(serial: u64, account: u64, rank: u8) -> Demand {
     Demand {
         permit: PermitId {
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -73,9 +73,9 @@
             floods: self.tree.is_flooding(&demand.share),
             ..Standing::default()
         };
-        let begins_by_ms = self.start_by_ms(demand);
-        let before = self.queue.requests_before(demand, begins_by_ms, &self.tree);
-        for other in before {
+        let start_by_ms = self.start_by_ms(demand);
+        let ahead = self.queue.requests_ahead(demand, start_by_ms, &self.tree);
+        for other in ahead {
             let count = match (other.rank < demand.rank, other.share.account) {
                 (true, _) => &mut standing.more_urgent,
                 (false, account) if account == demand.share.account => &mut standing.own,
