--- a/components/policy/src/fairness/mod.rs
+++ b/components/policy/src/fairness/mod.rs
@@ -1,4 +1,4 @@
-//! Shares of client accounts.
+//! Fair shares of client accounts.
 
 pub(crate) mod recent_usage;
 mod siblings;
--- a/components/policy/src/fairness/recent_usage.rs
+++ b/components/policy/src/fairness/recent_usage.rs
@@ -1,54 +1,59 @@
-//! What entry boxes tell a dispatcher that is new to them: what the requests of each account used lately. It is each box's
-//! own count, so that no box's word is taken twice, and a dispatcher takes in only what it did not charge itself.
+//! Recent usage that boxes report to a dispatcher that is new to them. Each box reports what its
+//! own requests used, so nothing is counted twice across boxes, and the dispatcher charges only the
+//! part of the window that it did not observe itself.
 
-use crate::fairness::siblings::WINDOW_MS;
+use crate::fairness::siblings::FAIRNESS_WINDOW_MS;
 use crate::fairness::tree::Share;
 use crate::pool::Pool;
 use prelude::BoxId;
 use std::collections::{HashMap, HashSet};
 
-/// A box that said nothing for so long may have had another dispatcher meanwhile: boxes tell theirs each second.
-const SILENT_MS: u64 = 1_500;
+/// A box that was silent for longer may have used another dispatcher: boxes contact theirs every
+/// second.
+const MAX_SILENCE_MS: u64 = 1_500;
 
-/// Since when a box is heard without a pause.
+/// Period of contact with a box without a gap.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct ContactPeriod {
     since_ms: u64,
     latest_ms: u64,
 }
 
-/// The boxes whose use a dispatcher charges itself, and since when.
+/// The boxes whose usage this dispatcher charges itself, and since when.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedBoxes {
-    boxes: HashMap<BoxId, Known>,
+    boxes: HashMap<BoxId, ContactPeriod>,
 }
 
 impl ObservedBoxes {
-    /// Notes that a box was heard.
+    /// Records a contact with a box.
     pub fn record_contact(&mut self, id: BoxId, now_ms: u64) {
-        let known = self.boxes.entry(id).or_insert(Known {
+        let contact = self.boxes.entry(id).or_insert(ContactPeriod {
             since_ms: now_ms,
             latest_ms: now_ms,
         });
-        if now_ms > known.latest_ms + SILENT_MS {
-            known.since_ms = now_ms;
+        if now_ms > contact.latest_ms + MAX_SILENCE_MS {
+            contact.since_ms = now_ms;
         }
-        known.latest_ms = now_ms;
+        contact.latest_ms = now_ms;
     }
 
-    /// The part of the window before now in which this dispatcher did not hear of a box; from then on it does.
-    fn take_unknown_part(&mut self, id: BoxId, now_ms: u64) -> f64 {
+    /// Returns the fraction of the window before now in which this dispatcher did not observe a
+    /// box, and marks the window as observed.
+    fn take_unobserved_part(&mut self, id: BoxId, now_ms: u64) -> f64 {
         self.record_contact(id, now_ms);
-        let Some(known) = self.boxes.get_mut(&id) else {
+        let Some(contact) = self.boxes.get_mut(&id) else {
             return 0.0;
         };
-        let known_ms = now_ms.saturating_sub(known.since_ms) as f64;
-        // What is taken in now is not taken in again.
-        known.since_ms = known.since_ms.min(now_ms.saturating_sub(WINDOW_MS as u64));
-        (1.0 - known_ms / WINDOW_MS).max(0.0)
+        let observed_ms = now_ms.saturating_sub(contact.since_ms) as f64;
+        // The same usage is not charged again.
+        contact.since_ms = contact
+            .since_ms
+            .min(now_ms.saturating_sub(FAIRNESS_WINDOW_MS as u64));
+        (1.0 - observed_ms / FAIRNESS_WINDOW_MS).max(0.0)
     }
 
-    /// Forgets boxes.
+    /// Removes boxes.
     pub fn forget(&mut self, boxes: &HashSet<BoxId>) {
         self.boxes.retain(|id, _| !boxes.contains(id));
     }
@@ -57,30 +62,32 @@
 /// What the requests of one account at one box used in the window before now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecentUsage {
-    /// The account.
+    /// The account, with its weights.
     pub share: Share,
-    /// Memory that they held, in tokens times milliseconds.
+    /// Memory in use, in tokens times milliseconds.
     pub held_token_ms: u64,
-    /// Tokens of the prompts that were begun.
+    /// Prompt tokens of requests that started.
     pub prompt_tokens: u32,
 }
 
 impl Pool {
-    /// Takes in what the requests of a box used before this dispatcher was told of them. True where it did not hear the box
-    /// lately, which may have had another dispatcher.
-    pub fn adopt_usage(&mut self, entry: BoxId, used: &[RecentUsage], now_ms: u64) -> bool {
-        let part = self.known.take_unknown_part(entry, now_ms);
-        // The time before it is told is in its words, and is charged for nothing that it adopts.
+    /// Charges usage that a box reports from the time before this dispatcher observed it. Returns
+    /// whether the dispatcher had no recent contact with the box, which may have used another one.
+    pub fn adopt_usage(&mut self, entry: BoxId, usage: &[RecentUsage], now_ms: u64) -> bool {
+        let unobserved_part = self.known.take_unobserved_part(entry, now_ms);
+        // The time before the report is covered by it; adopted streams are charged from now on.
         self.tree.advance(now_ms);
-        if part <= 0.0 {
+        if unobserved_part <= 0.0 {
             return false;
         }
-        let rate = self.reading_rate.tokens_per_ms();
-        for one in used {
-            let read_ms = f64::from(one.prompt_tokens) / rate;
-            let held_ms = self.tree.engine_ms(one.held_token_ms as f64);
-            self.tree
-                .charge_reported(&one.share, (read_ms + held_ms) * part);
+        let tokens_per_ms = self.reading_rate.tokens_per_ms();
+        for account_usage in usage {
+            let prefill_ms = f64::from(account_usage.prompt_tokens) / tokens_per_ms;
+            let memory_ms = self.tree.engine_ms(account_usage.held_token_ms as f64);
+            self.tree.charge_reported(
+                &account_usage.share,
+                (prefill_ms + memory_ms) * unobserved_part,
+            );
         }
         true
     }
--- a/components/policy/src/fairness/recent_usage_tests.rs
+++ b/components/policy/src/fairness/recent_usage_tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn demand(entry: u32, serial: u64, account: u64, came_ms: u64) -> Demand {
+fn demand(entry: u32, serial: u64, account: u64, arrived_ms: u64) -> Demand {
     Demand {
         permit: PermitId {
             entry: BoxId(entry),
@@ -39,7 +39,7 @@
         max_tokens: 500,
         rank: 0,
         pause_goal_ms: None,
-        since_ms: came_ms,
+        since_ms: arrived_ms,
         deadline_ms: u64::MAX,
         leaves_ms: u64::MAX,
         prefix: None,
@@ -67,12 +67,12 @@
     pool
 }
 
-/// What a box tells of a flood that held most of its engines for the whole window.
-fn flooded() -> Vec<RecentUsage> {
-    let held_tokens = CAPACITY_TOKENS * ENGINES / 2;
+/// Returns a box's report of a flood that used half of the memory for the whole window.
+fn flood_usage() -> Vec<RecentUsage> {
+    let tokens_in_use = CAPACITY_TOKENS * ENGINES / 2;
     vec![RecentUsage {
         share: share(FLOOD),
-        held_token_ms: held_tokens * WINDOW_MS as u64,
+        held_token_ms: tokens_in_use * FAIRNESS_WINDOW_MS as u64,
         prompt_tokens: 4_000,
     }]
 }
@@ -81,8 +81,8 @@
     pool.tree.excess_ms(&share(account))
 }
 
-/// Both accounts have a request that waits.
-fn both_wait(pool: &mut Pool, now_ms: u64) {
+/// Adds a waiting request to both accounts.
+fn add_waiting_to_both(pool: &mut Pool, now_ms: u64) {
     for (serial, account) in [(901, FLOOD), (902, OTHER)] {
         pool.tree
             .add_waiting(&demand(9, serial, account, now_ms).share);
@@ -90,27 +90,24 @@
 }
 
 #[test]
-fn a_new_dispatcher_serves_first_who_used_less_by_the_boxes_words() {
-    let mut told = pool();
-    let mut untold = pool();
-    both_wait(&mut told, 100_000);
-    both_wait(&mut untold, 100_000);
-    told.adopt_usage(BoxId(1), &flooded(), 100_000);
+fn a_new_dispatcher_serves_first_the_account_with_less_reported_usage() {
+    let mut with_report = pool();
+    let mut without_report = pool();
+    add_waiting_to_both(&mut with_report, 100_000);
+    add_waiting_to_both(&mut without_report, 100_000);
+    with_report.adopt_usage(BoxId(1), &flood_usage(), 100_000);
     let before = |pool: &Pool| {
         pool.tree.service_ms_by_level(&share(OTHER)) < pool.tree.service_ms_by_level(&share(FLOOD))
     };
-    assert!(before(&told));
-    assert!(!before(&untold));
+    assert!(before(&with_report));
+    assert!(!before(&without_report));
 }
 
 #[rstest]
-#[case::told_twice(0, 1.0)]
-#[case::told_again_within_a_second(800, 1.0)]
-#[case::after_it_was_with_another_for_long(6_000, 2.0)]
-fn a_box_word_is_taken_in_once_for_each_time_that_it_was_away(
-    #[case] later_ms: u64,
-    #[case] times: f64,
-) {
+#[case::reported_twice(0, 1.0)]
+#[case::reported_again_within_a_second(800, 1.0)]
+#[case::after_a_long_absence(6_000, 2.0)]
+fn charges_a_report_once_per_absence_of_the_box(#[case] gap_ms: u64, #[case] charges: f64) {
     let mut pool = pool();
     let at_ms = 100_000;
     let used = [RecentUsage {
@@ -118,35 +115,36 @@
         held_token_ms: 0,
         prompt_tokens: 100,
     }];
-    both_wait(&mut pool, at_ms);
+    add_waiting_to_both(&mut pool, at_ms);
     let rate = pool.reading_rate.tokens_per_ms();
     pool.adopt_usage(BoxId(1), &used, at_ms);
-    pool.adopt_usage(BoxId(1), &used, at_ms + later_ms);
+    pool.adopt_usage(BoxId(1), &used, at_ms + gap_ms);
     let charged_ms = pool.tree.service_ms_by_level(&share(FLOOD))[2]
         - pool.tree.service_ms_by_level(&share(OTHER))[2];
     assert!(
-        (charged_ms - times * 100.0 / rate).abs() < 1e-6,
+        (charged_ms - charges * 100.0 / rate).abs() < 1e-6,
         "{charged_ms}"
     );
 }
 
 #[test]
-fn what_boxes_tell_adds_up_and_stays_within_the_window() {
+fn reports_add_up_within_the_window() {
     let mut pool = pool();
-    both_wait(&mut pool, 100_000);
+    add_waiting_to_both(&mut pool, 100_000);
     pool.tree.advance(100_000);
     for entry in 1..=88 {
-        pool.adopt_usage(BoxId(entry), &flooded(), 100_000);
+        pool.adopt_usage(BoxId(entry), &flood_usage(), 100_000);
     }
     pool.tree.advance(100_010);
-    assert!(excess_ms(&pool, FLOOD) <= WINDOW_MS + 1e-6);
+    assert!(excess_ms(&pool, FLOOD) <= FAIRNESS_WINDOW_MS + 1e-6);
     assert!(excess_ms(&pool, OTHER) <= 0.0);
 }
 
-/// Callers of two accounts at three boxes; one floods. Each dispatcher is fed as boxes would feed it.
+/// Simulates three boxes with callers of two accounts, one of which floods, that feed a dispatcher
+/// as boxes do.
 struct Boxes {
     serial: u64,
-    /// Permits that run, with their engine and since when.
+    /// Running requests, with their engine and start.
     running: Vec<(Demand, TargetId, u64)>,
     waiting: Vec<Demand>,
     served: [u32; 2],
@@ -154,7 +152,7 @@
 }
 
 impl Boxes {
-    const HOLD_MS: u64 = 600;
+    const RUN_MS: u64 = 600;
 
     fn new() -> Self {
         Self {
@@ -166,7 +164,7 @@
         }
     }
 
-    fn come(&mut self, pool: &mut Pool, account: u64, now_ms: u64) {
+    fn arrive(&mut self, pool: &mut Pool, account: u64, now_ms: u64) {
         self.serial += 1;
         let entry = (self.serial % 3) as u32 + 1;
         let demand = demand(entry, self.serial, account, now_ms);
@@ -175,13 +173,14 @@
     }
 
     fn step(&mut self, pool: &mut Pool, now_ms: u64) {
-        let over = |(_, _, since_ms): &(Demand, TargetId, u64)| since_ms + Self::HOLD_MS <= now_ms;
-        for (demand, _, _) in self.running.extract_if(.., |one| over(one)) {
+        let has_ended =
+            |(_, _, since_ms): &(Demand, TargetId, u64)| since_ms + Self::RUN_MS <= now_ms;
+        for (demand, _, _) in self.running.extract_if(.., |one| has_ended(one)) {
             pool.release(demand.permit, 50, End::Finished);
         }
         for (permit, verdict) in pool.run(now_ms) {
             let Some(at) = self.waiting.iter().position(|one| one.permit == permit) else {
-                // Whoever asked has asked another: the permit is free again.
+                // The box has sent the request to another dispatcher, so the permit is unused.
                 pool.release(permit, 0, End::Censored);
                 continue;
             };
@@ -197,8 +196,8 @@
         }
     }
 
-    /// Tells a dispatcher that is new everything, as boxes do.
-    fn tell(&mut self, pool: &mut Pool, now_ms: u64) {
+    /// Reports all running and waiting requests to a new dispatcher, as boxes do.
+    fn report_all(&mut self, pool: &mut Pool, now_ms: u64) {
         for (demand, target, _) in &self.running {
             let adopted = Adopted {
                 demand: demand.clone(),
@@ -216,44 +215,44 @@
 fn flood(boxes: &mut Boxes, pool: &mut Pool, from_ms: u64, to_ms: u64) {
     for now_ms in (from_ms..to_ms).step_by(20) {
         for _ in 0..4 {
-            boxes.come(pool, FLOOD, now_ms);
+            boxes.arrive(pool, FLOOD, now_ms);
         }
-        boxes.come(pool, OTHER, now_ms);
+        boxes.arrive(pool, OTHER, now_ms);
         boxes.step(pool, now_ms);
     }
 }
 
 #[test]
-fn no_account_loses_its_share_when_the_dispatcher_is_lost_again_and_again() {
+fn shares_survive_repeated_dispatcher_failures() {
     let mut boxes = Boxes::new();
     let mut dispatcher = pool();
     for round in 0..10 {
         let from_ms = 1_000 + round * 1_000;
         flood(&mut boxes, &mut dispatcher, from_ms, from_ms + 1_000);
         dispatcher = pool();
-        boxes.tell(&mut dispatcher, from_ms + 1_000);
+        boxes.report_all(&mut dispatcher, from_ms + 1_000);
     }
-    let [flooded, other] = boxes.served;
-    assert!(flooded.abs_diff(other) * 10 <= other, "{flooded} {other}");
+    let [flooding, other] = boxes.served;
+    assert!(flooding.abs_diff(other) * 10 <= other, "{flooding} {other}");
 }
 
 #[test]
-fn places_in_line_outlive_the_dispatcher() {
+fn queue_order_survives_a_dispatcher_failure() {
     let mut boxes = Boxes::new();
     let mut first = pool();
     for now_ms in (0..400).step_by(20) {
         for _ in 0..10 {
-            boxes.come(&mut first, OTHER, now_ms);
+            boxes.arrive(&mut first, OTHER, now_ms);
         }
         boxes.step(&mut first, now_ms);
     }
     let mut second = pool();
-    // Boxes ask in any order.
+    // Boxes send their requests in any order.
     boxes.waiting.reverse();
-    boxes.tell(&mut second, 400);
-    let came_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.since_ms).collect();
-    assert!(!came_ms.is_empty());
-    let oldest_ms = came_ms.iter().min().copied().unwrap();
+    boxes.report_all(&mut second, 400);
+    let arrived_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.since_ms).collect();
+    assert!(!arrived_ms.is_empty());
+    let oldest_ms = arrived_ms.iter().min().copied().unwrap();
     for now_ms in (400..2_000).step_by(20) {
         boxes.step(&mut second, now_ms);
         let granted = boxes
@@ -265,100 +264,106 @@
             return;
         }
     }
-    panic!("nothing was granted");
+    panic!("no request was granted");
 }
 
 #[test]
-fn an_account_has_its_share_back_two_seconds_after_it_joins() {
+fn an_account_reaches_its_share_within_two_seconds_of_joining() {
     let mut boxes = Boxes::new();
     let mut pool = pool();
     for now_ms in (0..10_000).step_by(20) {
         for _ in 0..4 {
-            boxes.come(&mut pool, FLOOD, now_ms);
+            boxes.arrive(&mut pool, FLOOD, now_ms);
         }
         boxes.step(&mut pool, now_ms);
     }
     flood(&mut boxes, &mut pool, 10_000, 12_000);
     boxes.used = [0; 2];
     flood(&mut boxes, &mut pool, 12_000, 16_000);
-    let [flooded, joined] = boxes.used;
+    let [flooding, joined] = boxes.used;
     assert!(
-        joined as f64 > 0.45 * (flooded + joined) as f64,
-        "{flooded} {joined}"
+        joined as f64 > 0.45 * (flooding + joined) as f64,
+        "{flooding} {joined}"
     );
 }
 
 #[test]
-fn two_dispatchers_for_two_seconds_double_no_share() {
+fn an_account_gains_no_share_from_two_dispatchers() {
     let mut boxes = Boxes::new();
     let mut first = pool();
     flood(&mut boxes, &mut first, 1_000, 4_000);
-    // Boxes go over to another dispatcher, and come back after two seconds.
+    // The boxes change to another dispatcher, and return after two seconds.
     let mut second = pool();
-    boxes.tell(&mut second, 4_000);
+    boxes.report_all(&mut second, 4_000);
     flood(&mut boxes, &mut second, 4_000, 6_000);
-    let held: Vec<PermitId> = boxes.running.iter().map(|one| one.0.permit).collect();
+    let permits: Vec<PermitId> = boxes.running.iter().map(|one| one.0.permit).collect();
     for entry in 1..=3 {
-        let of_box = held.iter().filter(|permit| permit.entry == BoxId(entry));
+        let of_box = permits.iter().filter(|permit| permit.entry == BoxId(entry));
         first.keep_only(BoxId(entry), &of_box.copied().collect(), 6_000);
     }
-    boxes.tell(&mut first, 6_000);
+    boxes.report_all(&mut first, 6_000);
     boxes.served = [0; 2];
     flood(&mut boxes, &mut first, 6_000, 10_000);
-    let [flooded, other] = boxes.served;
-    assert!(flooded.abs_diff(other) * 10 <= other, "{flooded} {other}");
+    let [flooding, other] = boxes.served;
+    assert!(flooding.abs_diff(other) * 10 <= other, "{flooding} {other}");
 }
 
-/// Three accounts that used as much, each at two of three boxes.
+/// Three accounts with equal usage send requests, each at two of three boxes.
 #[rstest]
-#[case::callers_ask_after_the_words(false)]
-#[case::callers_ask_before_the_words(true)]
-fn an_account_whose_box_tells_later_is_charged_no_more_than_those_told_before(
-    #[case] asks_first: bool,
-) {
+#[case::requests_after_the_report(false)]
+#[case::requests_before_the_report(true)]
+fn a_late_report_charges_no_more_than_an_early_one(#[case] requests_first: bool) {
     let mut pool = pool();
     let used = |account| RecentUsage {
         share: share(account),
-        held_token_ms: 10_000 * WINDOW_MS as u64,
+        held_token_ms: 10_000 * FAIRNESS_WINDOW_MS as u64,
         prompt_tokens: 4_000,
     };
     for entry in 1..=3 {
         let now_ms = 100_000 + 30 * u64::from(entry);
         let accounts = [u64::from(entry), u64::from(entry) % 3 + 1];
-        let ask = |pool: &mut Pool| {
+        let send_requests = |pool: &mut Pool| {
             for account in accounts {
                 let serial = 10 * u64::from(entry) + account;
                 pool.submit(demand(entry, serial, account, now_ms), now_ms);
             }
         };
-        if asks_first {
-            ask(&mut pool);
+        if requests_first {
+            send_requests(&mut pool);
         }
         pool.adopt_usage(BoxId(entry), &accounts.map(used), now_ms);
-        if !asks_first {
-            ask(&mut pool);
+        if !requests_first {
+            send_requests(&mut pool);
         }
         pool.tree.advance(now_ms + 15);
     }
-    let stands = [1, 2, 3].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
-    // The later a word is, the more of what it tells a dispatcher that heard the box before charged itself.
-    let most = stands.into_iter().fold(f64::MIN, f64::max);
-    let least = stands.into_iter().fold(f64::MAX, f64::min);
-    assert!(least > 0.0 && most - least < 0.05 * most, "{stands:?}");
+    let service_ms = [1, 2, 3].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
+    // The later a report, the more of it a dispatcher that observed the box before has charged
+    // itself.
+    let max_ms = service_ms.into_iter().fold(f64::MIN, f64::max);
+    let min_ms = service_ms.into_iter().fold(f64::MAX, f64::min);
+    assert!(
+        min_ms > 0.0 && max_ms - min_ms < 0.05 * max_ms,
+        "{service_ms:?}"
+    );
 }
 
 #[test]
-fn an_account_that_used_nothing_stands_with_the_least_served_of_those_told() {
+fn a_new_account_starts_level_with_the_least_served_reported_one() {
     let mut pool = pool();
-    pool.adopt_usage(BoxId(1), &flooded(), 100_000);
+    pool.adopt_usage(BoxId(1), &flood_usage(), 100_000);
     pool.submit(demand(1, 1, FLOOD, 100_000), 100_000);
     pool.submit(demand(2, 1, OTHER, 100_010), 100_010);
-    let stands = [FLOOD, OTHER].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
-    assert!(stands[1] > 0.0 && stands[0] >= stands[1], "{stands:?}");
+    let service_ms =
+        [FLOOD, OTHER].map(|account| pool.tree.service_ms_by_level(&share(account))[2]);
+    assert!(
+        service_ms[1] > 0.0 && service_ms[0] >= service_ms[1],
+        "{service_ms:?}"
+    );
 }
 
 #[test]
-fn what_runs_as_a_pool_is_taken_over_is_charged_from_then_on() {
+fn charges_adopted_streams_from_the_adoption_on() {
     let mut pool = pool();
     pool.adopt_usage(BoxId(1), &[], 100_000);
     let adopted = Adopted {
@@ -373,7 +378,7 @@
 }
 
 #[test]
-fn who_was_let_wait_is_not_judged_anew_by_a_dispatcher_that_knows_less() {
+fn a_new_dispatcher_does_not_refuse_requests_that_already_waited() {
     let mut pool = pool();
     let in_time = |serial| Demand {
         deadline_ms: 100_500,
@@ -381,14 +386,14 @@
         ..demand(1, serial, OTHER, 100_000)
     };
     let crowd = (1..=400).map(|serial| pool.submit(in_time(serial), 100_000));
-    let refused = crowd.filter(|taken| matches!(taken, Submitted::Refused(_)));
-    assert!(refused.count() > 0, "none is refused");
+    let refused = crowd.filter(|submitted| matches!(submitted, Submitted::Refused(_)));
+    assert!(refused.count() > 0, "no request was refused");
     let refused_now = pool.submit(in_time(900), 100_001);
     assert!(matches!(refused_now, Submitted::Refused(_)));
     let again = pool.submit_again(in_time(901), 100_001);
     assert!(matches!(again, Submitted::Waits { .. }));
-    // Its time is over as that of any other.
+    // It expires like any other.
     let verdicts = pool.run(103_000);
-    let over = verdicts.iter().find(|(permit, _)| permit.serial == 901);
-    assert!(matches!(over, Some((_, Verdict::Refused(_)))));
+    let expired = verdicts.iter().find(|(permit, _)| permit.serial == 901);
+    assert!(matches!(expired, Some((_, Verdict::Refused(_)))));
 }
--- a/components/policy/src/fairness/tree.rs
+++ b/components/policy/src/fairness/tree.rs
@@ -1,62 +1,67 @@
-//! Fair shares for work of unknown length: counters as in "Fairness in Serving Large Language Models" (Sheng et al., OSDI
-//! 2024), in a tree of partner, owner and account, charged in what binds. One scale is used, the time of one engine:
-//! memory is charged while it is held, as the part of an engine's memory times the time; a prompt is charged at the
-//! grant, as the time that an engine takes to read it.
+//! Fair sharing of requests of unknown length: service counters as in "Fairness in Serving Large
+//! Language Models" (Sheng et al., OSDI 2024), in a tree of partner, owner and account, charged for
+//! the resources that limit the engines. The common unit is engine time: memory is charged while it
+//! is in use, as the fraction of an engine's memory times the time; a prompt is charged at the
+//! grant, with its prefill time.
 //!
-//! Load patterns that this answers: an account that floods or repeats at once, one that comes back after a pause, a few
-//! large accounts beside many small ones.
+//! Covers these load patterns: an account that floods or retries at once, an account that returns
+//! after a pause, and a few large accounts beside many small ones.
 
 use crate::fairness::siblings::{Child, Siblings};
 use prelude::{AccountId, OwnerId, PartnerId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Counters are brought up to date this often: a decision sees them at most so old.
-const PASS_EACH_MS: u64 = 10;
-/// An account holds more than it is entitled to beyond so many times its part: one more request of a small account is not
-/// much.
-const OVER_TIMES: f64 = 1.25;
-/// An account floods that asked for so many times its part, relative to the others: callers of a large account among small
-/// ones are not put last for what they usually ask. It is a ratio of odds (asked against not asked): of 24 equal accounts, one floods from 41 in 100 of the tokens on.
-const FLOOD_TIMES: f64 = 16.0;
-/// Part of all that was asked lately from which on an account outweighs the others: half of it, less what such a part is off by
-/// within some seconds. The largest of many at a busy moment lies below.
-const OUTWEIGHS_PART: f64 = 0.46;
-/// Share of the memory up to which an account that floods is granted, so that what others ask meanwhile has room at once.
+/// Minimum interval between counter updates; decisions see counters of at most this age.
+const MIN_ADVANCE_MS: u64 = 10;
+/// An account is over its share beyond this multiple of its entitled part: one more request of a
+/// small account is not significant.
+const OVER_SHARE_FACTOR: f64 = 1.25;
+/// An account floods if the odds of its requested part exceed the odds of its entitled part by this
+/// factor, so that a large account among small ones is not penalized for its normal demand. The
+/// odds are requested against not requested: one of 24 equal accounts floods from 41 in 100 of the
+/// tokens on.
+const FLOOD_ODDS_RATIO: f64 = 16.0;
+/// Part of all recent demand from which an account dominates: half, less the error of such a part
+/// within some seconds. The largest of many accounts stays below it at a busy moment.
+const DOMINANT_DEMAND_PART: f64 = 0.46;
+/// Flooding accounts are granted requests only up to this share of the memory, so that requests of
+/// others find free memory at once.
 const FLOOD_MEMORY_SHARE: f64 = 0.65;
-/// For how long room is left after another account's request waited: several times what most answers take.
-const OTHERS_WAITED_MS: u64 = 5_000;
+/// Time for which headroom stays reserved after a request of another account waited; several times
+/// the duration of most answers.
+const HEADROOM_HOLD_MS: u64 = 5_000;
 
-/// Who is charged, and with which weights.
+/// The account charged for a request, its parents, and their weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// The partner.
+    /// The partner that the owner belongs to.
     pub partner: PartnerId,
-    /// The owner.
+    /// The owner of the account.
     pub owner: OwnerId,
-    /// The account.
+    /// The client account.
     pub account: AccountId,
-    /// The partner's weight.
+    /// Weight among all partners.
     pub partner_weight: f64,
-    /// The owner's weight.
+    /// Weight among the partner's owners.
     pub owner_weight: f64,
-    /// The account's weight.
+    /// Weight among the owner's accounts.
     pub account_weight: f64,
 }
 
-/// The tree of counters.
+/// Service counters of partners, owners and accounts.
 #[derive(Clone, Debug)]
 pub struct FairTree {
     partners: Siblings<PartnerId>,
     owners: BTreeMap<PartnerId, Siblings<OwnerId>>,
     accounts: BTreeMap<(PartnerId, OwnerId), Siblings<AccountId>>,
     caps: HashMap<AccountId, f64>,
-    /// Whether shares order anything; who came first goes first where they do not.
-    orders: bool,
+    /// Whether fair shares order requests; they are served in the order of arrival otherwise.
+    is_enabled: bool,
     engine_tokens: f64,
     engines: f64,
-    /// When a request of an account that does not flood last waited for long, or was refused.
-    others_waited_ms: Option<u64>,
-    passed_ms: u64,
+    /// When a request of a non-flooding account last waited for long or was refused.
+    non_flooding_waited_ms: Option<u64>,
+    advanced_ms: u64,
 }
 
 impl Default for FairTree {
@@ -66,46 +71,48 @@
             owners: BTreeMap::new(),
             accounts: BTreeMap::new(),
             caps: HashMap::new(),
-            orders: true,
+            is_enabled: true,
             engine_tokens: 1.0,
             engines: 1.0,
-            others_waited_ms: None,
-            passed_ms: 0,
+            non_flooding_waited_ms: None,
+            advanced_ms: 0,
         }
     }
 }
 
 impl FairTree {
-    /// Sets how many engines take work, and the memory that they have together.
+    /// Sets the number of engines that accept work, and their total memory.
     pub fn set_capacity(&mut self, engines: usize, memory_tokens: u64) {
         self.engines = (engines as f64).max(1.0);
         self.engine_tokens = (memory_tokens as f64 / self.engines).max(1.0);
     }
 
-    /// Sets whether shares order anything.
-    pub fn set_enabled(&mut self, orders: bool) {
-        self.orders = orders;
+    /// Sets whether fair shares order requests.
+    pub fn set_enabled(&mut self, is_enabled: bool) {
+        self.is_enabled = is_enabled;
     }
 
-    /// Sets which accounts have a cap: the share of the pool's memory that their requests may hold together.
+    /// Sets the caps of accounts: the share of the pool's memory that an account's requests may
+    /// use.
     pub fn set_caps(&mut self, caps: HashMap<AccountId, f64>) {
         self.caps = caps;
     }
 
-    /// Charges for the time that has passed.
+    /// Charges for the time since the last update.
     pub fn advance(&mut self, now_ms: u64) {
-        if now_ms < self.passed_ms + PASS_EACH_MS {
+        if now_ms < self.advanced_ms + MIN_ADVANCE_MS {
             return;
         }
-        // Counters that were left alone for long are as good as empty.
-        let elapsed_ms = (now_ms - self.passed_ms).min(10_000) as f64;
-        self.passed_ms = now_ms;
+        // After ten seconds without an update the counters are as good as empty.
+        let elapsed_ms = (now_ms - self.advanced_ms).min(10_000) as f64;
+        self.advanced_ms = now_ms;
         let engine_tokens = self.engine_tokens;
-        self.partners.pass(elapsed_ms, engine_tokens, self.engines);
+        self.partners
+            .advance(elapsed_ms, engine_tokens, self.engines);
         for (partner, owners) in &mut self.owners {
             let weight = weight_of(&self.partners, *partner);
             let part = self.partners.entitled_part(*partner, weight);
-            owners.pass(elapsed_ms, engine_tokens, self.engines * part);
+            owners.advance(elapsed_ms, engine_tokens, self.engines * part);
         }
         for ((partner, owner), accounts) in &mut self.accounts {
             let weight = weight_of(&self.partners, *partner);
@@ -113,80 +120,81 @@
             if let Some(owners) = self.owners.get(partner) {
                 part *= owners.entitled_part(*owner, weight_of(owners, *owner));
             }
-            accounts.pass(elapsed_ms, engine_tokens, self.engines * part);
+            accounts.advance(elapsed_ms, engine_tokens, self.engines * part);
         }
         self.owners.retain(|_, owners| !owners.children.is_empty());
         self.accounts
             .retain(|_, accounts| !accounts.children.is_empty());
     }
 
-    /// Notes that a prompt of so many tokens is asked for, whatever becomes of it.
+    /// Adds the tokens of a requested prompt, whether or not it is granted.
     pub fn record_arrival(&mut self, share: &Share, tokens: u32) {
-        self.each(share, |child| child.asked_tokens += f64::from(tokens));
+        self.for_each_level(share, |child| child.requested_tokens += f64::from(tokens));
     }
 
-    /// Notes that a request waits.
+    /// Adds a waiting request.
     pub fn add_waiting(&mut self, share: &Share) {
         let (partners, owners, accounts) = self.levels(share);
-        partners.waits(share.partner, share.partner_weight);
-        owners.waits(share.owner, share.owner_weight);
-        accounts.waits(share.account, share.account_weight);
+        partners.add_waiting(share.partner, share.partner_weight);
+        owners.add_waiting(share.owner, share.owner_weight);
+        accounts.add_waiting(share.account, share.account_weight);
     }
 
-    /// Notes that a waiting request waits no more, without being run.
+    /// Removes a waiting request.
     pub fn remove_waiting(&mut self, share: &Share) {
-        self.each(share, |child| {
+        self.for_each_level(share, |child| {
             child.waiting = child.waiting.saturating_sub(1);
         });
     }
 
-    /// Notes that a request runs.
+    /// Adds a running request.
     pub fn add_running(&mut self, share: &Share) {
-        self.each(share, |child| child.running += 1);
+        self.for_each_level(share, |child| child.running += 1);
     }
 
-    /// Notes that a running request ended.
+    /// Removes a running request.
     pub fn remove_running(&mut self, share: &Share) {
-        self.each(share, |child| {
+        self.for_each_level(share, |child| {
             child.running = child.running.saturating_sub(1);
         });
     }
 
-    /// Notes that requests hold so many tokens more, or less.
+    /// Changes the memory in use by `tokens`, which may be negative.
     pub fn adjust_tokens_in_use(&mut self, share: &Share, tokens: f64) {
-        self.each(share, |child| {
-            child.held_tokens = (child.held_tokens + tokens).max(0.0);
+        self.for_each_level(share, |child| {
+            child.tokens_in_use = (child.tokens_in_use + tokens).max(0.0);
         });
     }
 
-    /// Charges time of an engine, such as what it takes to read a prompt.
+    /// Charges engine time, such as that of a prefill.
     pub fn charge(&mut self, share: &Share, ms: f64) {
-        self.each(share, |child| child.used_ms += ms / child.weight);
+        self.for_each_level(share, |child| child.service_ms += ms / child.weight);
     }
 
-    /// Charges time of an engine that a box tells of: it lies before this tree knew of it.
+    /// Charges engine time that a box reports from before this tree observed it.
     pub fn charge_reported(&mut self, share: &Share, ms: f64) {
         let (partners, owners, accounts) = self.levels(share);
-        partners.told(share.partner, share.partner_weight, ms);
-        owners.told(share.owner, share.owner_weight, ms);
-        accounts.told(share.account, share.account_weight, ms);
+        partners.charge_reported(share.partner, share.partner_weight, ms);
+        owners.charge_reported(share.owner, share.owner_weight, ms);
+        accounts.charge_reported(share.account, share.account_weight, ms);
     }
 
-    /// Orders shares: the least served partner first, then owner, then account.
+    /// Returns the service of the partner, the owner and the account; the smallest is served first.
     pub fn service_ms_by_level(&self, share: &Share) -> [f64; 3] {
-        if !self.orders {
+        if !self.is_enabled {
             return [0.0; 3];
         }
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
         [
-            self.partners.used_ms(share.partner),
-            owners.map_or(0.0, |owners| owners.used_ms(share.owner)),
-            accounts.map_or(0.0, |accounts| accounts.used_ms(share.account)),
+            self.partners.service_ms(share.partner),
+            owners.map_or(0.0, |owners| owners.service_ms(share.owner)),
+            accounts.map_or(0.0, |accounts| accounts.service_ms(share.account)),
         ]
     }
 
-    /// The part of the pool that an account is entitled to among those that wait or run, were it one of them.
+    /// Returns the fraction of the pool that an account is entitled to among active accounts,
+    /// counting itself as active.
     pub fn entitled_part(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
@@ -202,28 +210,30 @@
         partner * owner * account
     }
 
-    fn asked_part(&self, share: &Share) -> f64 {
+    fn requested_part(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
-        self.partners.asked_part(share.partner)
-            * owners.map_or(0.0, |owners| owners.asked_part(share.owner))
-            * accounts.map_or(0.0, |accounts| accounts.asked_part(share.account))
+        self.partners.requested_part(share.partner)
+            * owners.map_or(0.0, |owners| owners.requested_part(share.owner))
+            * accounts.map_or(0.0, |accounts| accounts.requested_part(share.account))
     }
 
-    fn present_part(&self, share: &Share) -> f64 {
+    fn recent_entitled_part(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
         let partner = self
             .partners
-            .present_part(share.partner, share.partner_weight);
-        let owner = owners.map_or(1.0, |one| one.present_part(share.owner, share.owner_weight));
+            .recent_entitled_part(share.partner, share.partner_weight);
+        let owner = owners.map_or(1.0, |one| {
+            one.recent_entitled_part(share.owner, share.owner_weight)
+        });
         let account = accounts.map_or(1.0, |one| {
-            one.present_part(share.account, share.account_weight)
+            one.recent_entitled_part(share.account, share.account_weight)
         });
         partner * owner * account
     }
 
-    /// The part of all held memory that an account's requests hold.
+    /// Returns the fraction of the memory in use that an account's requests use.
     pub fn held_part(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
@@ -232,74 +242,77 @@
             * accounts.map_or(0.0, |accounts| accounts.held_part(share.account))
     }
 
-    /// Whether an account holds more than it is entitled to, by more than chance.
+    /// Returns whether an account uses clearly more memory than it is entitled to.
     pub fn is_over_share(&self, share: &Share) -> bool {
-        self.held_part(share) > OVER_TIMES * self.entitled_part(share)
+        self.held_part(share) > OVER_SHARE_FACTOR * self.entitled_part(share)
     }
 
-    /// Whether an account's requests go behind those of all others, whatever their rank: against the others it asked
-    /// lately for many times its part. Who is alone never does.
+    /// Returns whether an account floods, and is served after all others whatever its rank: its
+    /// recent demand is many times its part. A single account never floods.
     pub fn is_flooding(&self, share: &Share) -> bool {
-        let (asked, part) = (self.asked_part(share), self.present_part(share));
-        self.orders && asked * (1.0 - part) > FLOOD_TIMES * part * (1.0 - asked)
+        let (requested, part) = (self.requested_part(share), self.recent_entitled_part(share));
+        self.is_enabled && requested * (1.0 - part) > FLOOD_ODDS_RATIO * part * (1.0 - requested)
     }
 
-    /// Whether an account that floods asked lately for about as much as all others together: what is left free for them then costs
-    /// it less than they would lose. The largest account of many, at a busy moment, does not.
+    /// Returns whether a flooding account recently requested about as much as all others together.
+    /// Keeping capacity free for the others then costs it less than the others would lose. The
+    /// largest of many accounts does not dominate at a busy moment.
     pub fn has_dominant_demand(&self, share: &Share) -> bool {
-        self.asked_part(share) > OUTWEIGHS_PART && self.is_flooding(share)
+        self.requested_part(share) > DOMINANT_DEMAND_PART && self.is_flooding(share)
     }
 
-    /// Notes that a request of an account that does not flood waits for long, or is refused.
+    /// Records that a request of a non-flooding account waits for long or is refused.
     pub fn record_non_flooding_wait(&mut self, now_ms: u64) {
-        self.others_waited_ms = Some(now_ms);
+        self.non_flooding_waited_ms = Some(now_ms);
     }
 
-    /// Whether the memory that is left is kept for accounts that do not flood, so that they need not wait until a flood's
-    /// requests end. Where none of them waited of late, everything may be used.
+    /// Returns whether the remaining memory is reserved for non-flooding accounts, so that they
+    /// need not wait for a flood's requests to end. Nothing is reserved if none of them waited
+    /// recently.
     pub fn is_headroom_reserved(&self) -> bool {
-        let waited_ms = self.others_waited_ms;
-        if waited_ms.is_none_or(|at_ms| at_ms + OTHERS_WAITED_MS < self.passed_ms) {
+        let last_wait_ms = self.non_flooding_waited_ms;
+        if last_wait_ms.is_none_or(|at_ms| at_ms + HEADROOM_HOLD_MS < self.advanced_ms) {
             return false;
         }
         let partners = self.partners.children.values();
-        let held_tokens: f64 = partners.map(|child| child.held_tokens).sum();
-        held_tokens > FLOOD_MEMORY_SHARE * self.engines * self.engine_tokens
+        let tokens_in_use: f64 = partners.map(|child| child.tokens_in_use).sum();
+        tokens_in_use > FLOOD_MEMORY_SHARE * self.engines * self.engine_tokens
     }
 
-    /// What an account has used beyond the least served one that waits, as time of its own fair share; below zero where
-    /// it is owed. It lies within the window on each level.
+    /// Returns the service beyond the least served waiting account, in milliseconds of its fair
+    /// share; negative if it received less. Each level contributes at most the fairness window.
     pub fn excess_ms(&self, share: &Share) -> f64 {
         let owners = self.owners.get(&share.partner);
         let accounts = self.accounts.get(&(share.partner, share.owner));
-        self.partners.ahead_ms(share.partner)
-            + owners.map_or(0.0, |owners| owners.ahead_ms(share.owner))
-            + accounts.map_or(0.0, |accounts| accounts.ahead_ms(share.account))
+        self.partners.excess_ms(share.partner)
+            + owners.map_or(0.0, |owners| owners.excess_ms(share.owner))
+            + accounts.map_or(0.0, |accounts| accounts.excess_ms(share.account))
     }
 
-    /// Whether an account's cap leaves no room for so many tokens. One that holds nothing always has room for one.
+    /// Returns whether `tokens` more would exceed the account's cap. An account without memory in
+    /// use never exceeds it.
     pub fn would_exceed_cap(&self, share: &Share, tokens: u32) -> bool {
         let Some(cap) = self.caps.get(&share.account) else {
             return false;
         };
         let accounts = self.accounts.get(&(share.partner, share.owner));
         let child = accounts.and_then(|accounts| accounts.children.get(&share.account));
-        let held_tokens = child.map_or(0.0, |child| child.held_tokens);
-        let may_hold = cap * self.engines * self.engine_tokens;
-        held_tokens > 0.0 && held_tokens + f64::from(tokens) > may_hold
+        let tokens_in_use = child.map_or(0.0, |child| child.tokens_in_use);
+        let max_tokens = cap * self.engines * self.engine_tokens;
+        tokens_in_use > 0.0 && tokens_in_use + f64::from(tokens) > max_tokens
     }
 
-    /// Time of one engine that memory held for a time comes to.
+    /// Converts memory use over time to engine time.
     pub(crate) fn engine_ms(&self, held_token_ms: f64) -> f64 {
         held_token_ms / self.engine_tokens
     }
 
-    /// An account's cap; none where it has none.
+    /// Returns an account's cap.
     pub(crate) fn cap_of(&self, account: AccountId) -> Option<f64> {
         self.caps.get(&account).copied()
     }
 
-    /// The accounts that are known here.
+    /// Returns all known accounts.
     pub(crate) fn shares(&self) -> impl Iterator<Item = Share> {
         self.accounts
             .iter()
@@ -330,11 +343,11 @@
         (&mut self.partners, owners, accounts.or_default())
     }
 
-    fn each(&mut self, share: &Share, change: impl Fn(&mut Child)) {
+    fn for_each_level(&mut self, share: &Share, change: impl Fn(&mut Child)) {
         let (partners, owners, accounts) = self.levels(share);
-        change(partners.child(share.partner, share.partner_weight));
-        change(owners.child(share.owner, share.owner_weight));
-        change(accounts.child(share.account, share.account_weight));
+        change(partners.child_mut(share.partner, share.partner_weight));
+        change(owners.child_mut(share.owner, share.owner_weight));
+        change(accounts.child_mut(share.account, share.account_weight));
     }
 }
 
--- a/components/policy/src/fairness/tree_tests.rs
+++ b/components/policy/src/fairness/tree_tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn memory_is_charged_for_as_long_as_it_is_held() {
+fn charges_memory_while_it_is_in_use() {
     let mut tree = tree();
     let (long, short) = (share(1, 1.0), share(2, 1.0));
     for one in [&long, &short] {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_not_used_is_saved_up_for_a_window_at_the_most() {
+fn saves_up_unused_share_for_at_most_one_window() {
     let mut tree = tree();
     let (busy, idle) = (share(1, 1.0), share(2, 1.0));
     tree.add_waiting(&idle);
@@ -71,39 +71,39 @@
 }
 
 #[test]
-fn who_is_new_or_was_away_for_long_stands_with_the_least_served() {
+fn a_new_account_starts_level_with_the_least_served() {
     let mut tree = tree();
-    let (much, little, new) = (share(1, 1.0), share(2, 1.0), share(3, 1.0));
-    tree.add_waiting(&much);
-    tree.add_waiting(&little);
-    tree.charge(&much, 900.0);
-    tree.charge(&little, 300.0);
+    let (most_served, least_served, new) = (share(1, 1.0), share(2, 1.0), share(3, 1.0));
+    tree.add_waiting(&most_served);
+    tree.add_waiting(&least_served);
+    tree.charge(&most_served, 900.0);
+    tree.charge(&least_served, 300.0);
     tree.advance(10);
     tree.add_waiting(&new);
     assert_eq!(
         tree.service_ms_by_level(&new)[1],
-        tree.service_ms_by_level(&little)[1]
+        tree.service_ms_by_level(&least_served)[1]
     );
 }
 
 #[test]
-fn nobody_pays_for_longer_than_a_window_for_what_it_used_alone() {
+fn past_sole_use_costs_at_most_one_window() {
     let mut tree = tree();
-    let (was_alone, other) = (share(1, 1.0), share(2, 1.0));
-    tree.add_running(&was_alone);
-    tree.charge(&was_alone, 1e9);
+    let (sole, other) = (share(1, 1.0), share(2, 1.0));
+    tree.add_running(&sole);
+    tree.charge(&sole, 1e9);
     tree.add_waiting(&other);
-    tree.add_waiting(&was_alone);
+    tree.add_waiting(&sole);
     tree.advance(10);
-    assert!(tree.excess_ms(&was_alone) <= 2_000.0 + 1e-6);
-    // The other uses its fair share, half of ten engines, for two seconds.
+    assert!(tree.excess_ms(&sole) <= 2_000.0 + 1e-6);
+    // The other receives its fair share, half of ten engines, for two seconds.
     tree.charge(&other, 4_000.0 + 2_000.0 * 5.0);
     tree.advance(20);
-    assert!(tree.service_ms_by_level(&was_alone) <= tree.service_ms_by_level(&other));
+    assert!(tree.service_ms_by_level(&sole) <= tree.service_ms_by_level(&other));
 }
 
 #[test]
-fn siblings_of_other_owners_do_not_count() {
+fn accounts_of_other_owners_do_not_count() {
     let mut tree = tree();
     let (one, other) = (share(1, 1.0), share(2, 1.0));
     tree.add_waiting(&one);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn who_holds_more_than_its_part_is_over_it() {
+fn an_account_beyond_its_entitled_part_is_over_its_share() {
     let mut tree = tree();
     let (one, other) = (share(1, 1.0), share(2, 1.0));
     for (share, tokens) in [(&one, 900.0), (&other, 100.0)] {
@@ -126,11 +126,14 @@
     assert!(!tree.is_over_share(&other));
     tree.remove_running(&other);
     tree.adjust_tokens_in_use(&other, -100.0);
-    assert!(!tree.is_over_share(&one), "who is alone may use everything");
+    assert!(
+        !tree.is_over_share(&one),
+        "a single account may use all memory"
+    );
 }
 
 #[test]
-fn a_cap_bounds_what_is_held_and_never_stops_the_first() {
+fn a_cap_bounds_memory_in_use_but_allows_the_first_request() {
     let mut tree = tree();
     let one = share(1, 1.0);
     tree.set_caps([(one.account, 0.1)].into());
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn counters_of_those_who_left_are_forgotten() {
+fn drops_counters_of_idle_accounts() {
     let mut tree = tree();
     for owner in 2..100 {
         tree.add_running(&share(owner, 1.0));
@@ -160,15 +163,15 @@
 }
 
 #[rstest]
-#[case::of_two(2, 900, 70, false)]
-#[case::of_two_nearly_all(2, 900, 50, true)]
-#[case::of_24(24, 450, 24, true)]
-#[case::a_large_one_of_24(24, 340, 29, false)]
-fn an_account_floods_that_asks_for_many_times_its_part(
+#[case::one_of_two(2, 900, 70, false)]
+#[case::nearly_all_of_two(2, 900, 50, true)]
+#[case::one_of_24(24, 450, 24, true)]
+#[case::large_one_of_24(24, 340, 29, false)]
+fn detects_a_flood_by_the_odds_of_requested_tokens(
     #[case] accounts: u64,
     #[case] own_tokens: u32,
     #[case] others_tokens: u32,
-    #[case] floods: bool,
+    #[case] expected: bool,
 ) {
     let mut tree = tree();
     for owner in 1..=accounts {
@@ -179,24 +182,24 @@
         };
         tree.record_arrival(&share(owner, 1.0), tokens);
     }
-    assert_eq!(tree.is_flooding(&share(1, 1.0)), floods);
+    assert_eq!(tree.is_flooding(&share(1, 1.0)), expected);
     assert!(!tree.is_flooding(&share(2, 1.0)));
     tree.set_enabled(false);
     assert!(!tree.is_flooding(&share(1, 1.0)));
 }
 
-/// Beside a large account each of 23 small ones comes once in seven seconds.
+/// Beside a large account, 23 small accounts send one request each in seven seconds.
 #[test]
-fn small_accounts_that_come_rarely_count_where_one_floods() {
+fn rare_requests_of_small_accounts_count_in_flood_detection() {
     let mut tree = tree();
     for at in 0..100 {
-        let came = [(1, 80), (2, 100), (3 + at % 23, 5)];
-        for (account, tokens) in came {
+        let arrivals = [(1, 80), (2, 100), (3 + at % 23, 5)];
+        for (account, tokens) in arrivals {
             tree.record_arrival(&share(account, 1.0), tokens);
             tree.add_running(&share(account, 1.0));
         }
         tree.advance(at * 300 + 10);
-        for (account, _) in came {
+        for (account, _) in arrivals {
             tree.remove_running(&share(account, 1.0));
         }
         tree.advance(at * 300 + 299);
@@ -205,14 +208,14 @@
 }
 
 #[test]
-fn who_is_alone_never_floods() {
+fn a_single_account_never_floods() {
     let mut tree = tree();
     tree.record_arrival(&share(1, 1.0), 1_000_000);
     assert!(!tree.is_flooding(&share(1, 1.0)));
 }
 
 #[test]
-fn a_flood_is_over_when_it_is_asked_no_more() {
+fn a_flood_ends_when_its_requests_stop() {
     let mut tree = tree();
     for owner in 1..=24 {
         tree.record_arrival(&share(owner, 1.0), if owner == 1 { 500 } else { 20 });
@@ -228,7 +231,7 @@
 }
 
 #[test]
-fn room_is_left_to_others_only_while_they_waited_of_late() {
+fn reserves_headroom_only_after_recent_waits_of_others() {
     let mut tree = tree();
     tree.add_running(&share(1, 1.0));
     tree.adjust_tokens_in_use(&share(1, 1.0), 9_000.0);
@@ -241,11 +244,11 @@
     assert!(!tree.is_headroom_reserved());
 }
 
-/// One of 24 accounts asks for so many tokens where each other asks for 10.
+/// One of 24 accounts requests `tokens`, each other one 10.
 #[rstest]
-#[case::the_largest_of_many(160, false)]
+#[case::largest_of_many(160, false)]
 #[case::as_much_as_all_others(230, true)]
-fn an_account_outweighs_the_others_that_asks_for_as_much_as_they_do(
+fn an_account_that_requests_as_much_as_all_others_is_dominant(
     #[case] tokens: u32,
     #[case] expected: bool,
 ) {
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -1,4 +1,4 @@
-//! Who is served, who waits and who is refused, by account and rank, as operators see it.
+//! Grants, waiting requests and refusals by account and rank, for operators.
 
 use crate::demand::Demand;
 use crate::fairness::tree::Share;
@@ -7,21 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Accounts and ranks that are counted apart; what comes beyond is counted under the account 0.
-const ROWS_MAX: usize = 1_024;
+/// Maximum number of pairs of account and rank counted separately; requests of further ones count
+/// under account 0.
+const MAX_ROWS: usize = 1_024;
 
-/// What became of the requests of one account and rank, since the dispatcher began.
+/// Outcomes of the requests of one account and rank since the dispatcher started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankCounts {
-    /// Requests that were granted.
+    /// Granted requests.
     pub granted: u64,
-    /// Requests that were refused.
+    /// Refused requests.
     pub refused: u64,
     /// Requests that wait now.
     pub waiting: u64,
 }
 
-/// Counts by account and rank.
+/// Outcomes by account and rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Usage {
     rows: HashMap<(AccountId, u8), RankCounts>,
@@ -38,32 +39,33 @@
 
     fn row(&mut self, demand: &Demand) -> &mut RankCounts {
         let mut key = (demand.share.account, demand.rank);
-        if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key) {
+        if self.rows.len() >= MAX_ROWS && !self.rows.contains_key(&key) {
             key = (AccountId::default(), demand.rank);
         }
         self.rows.entry(key).or_default()
     }
 }
 
-/// One account as a dispatcher sees it.
+/// Usage of one account at a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountUsage {
     /// The account.
     pub account: AccountId,
-    /// What became of its requests, by rank.
+    /// Outcomes of its requests by rank.
     pub ranks: BTreeMap<u8, RankCounts>,
-    /// The part of the memory in use that it holds.
+    /// Fraction of the memory in use.
     pub held_part: f64,
-    /// The part that it is entitled to among those that wait or run.
+    /// Fraction of the pool that it is entitled to among accounts with waiting or running requests.
     pub entitled_part: f64,
-    /// What it used beyond the least served that waits, as time of its fair share; below zero where it is owed.
+    /// Service received beyond the least served waiting account, in milliseconds of its fair share;
+    /// negative if it received less.
     pub excess_ms: f64,
-    /// The share of the pool's memory that it may hold; none where it has no cap.
+    /// Maximum share of the pool's memory; `None` without a cap.
     pub cap_share: Option<f64>,
 }
 
 impl Pool {
-    /// Who stands before a request that is refused, and how its account stands.
+    /// Returns the requests served before a refused one, and the usage of its account.
     pub fn standing(&self, demand: &Demand) -> Standing {
         let mut standing = Standing {
             waiting: self.queue.len() as u32,
@@ -86,7 +88,7 @@
         standing
     }
 
-    /// The accounts that it served or refused, or that wait, those that hold most first.
+    /// Returns the accounts that had requests, by descending memory in use.
     pub fn accounts(&self) -> Vec<AccountUsage> {
         let mut ranks: HashMap<AccountId, BTreeMap<u8, RankCounts>> = HashMap::new();
         for ((account, rank), row) in &self.usage.rows {
@@ -101,7 +103,7 @@
             .shares()
             .map(|share| (share.account, share))
             .collect();
-        let of = |(account, ranks): (AccountId, BTreeMap<u8, RankCounts>)| {
+        let usage_of = |(account, ranks): (AccountId, BTreeMap<u8, RankCounts>)| {
             let share = shares.get(&account);
             AccountUsage {
                 account,
@@ -112,7 +114,7 @@
                 cap_share: self.tree.cap_of(account),
             }
         };
-        let mut accounts: Vec<AccountUsage> = ranks.into_iter().map(of).collect();
+        let mut accounts: Vec<AccountUsage> = ranks.into_iter().map(usage_of).collect();
         accounts.sort_by(|one, other| {
             let by_part = other.held_part.total_cmp(&one.held_part);
             by_part.then(one.account.cmp(&other.account))
