--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -4,7 +4,7 @@
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use peers::HintWord;
-use platform::{Announced, AnswerFacts};
+use platform::{ParsedHeader, ResponseMetadata};
 use std::rc::Rc;
 
 /// Statuses with which a target turns a request away.
@@ -16,19 +16,19 @@
         self: &Rc<Self>,
         slot: TargetSlot,
         status: u16,
-        facts: &AnswerFacts,
+        facts: &ResponseMetadata,
         sent_ms: u64,
     ) {
         self.observe_pause(slot, status, facts, sent_ms);
         match facts.rate_limit_per_s {
-            Announced::Value(limit_per_s) => self.observe_rate(slot, Some(limit_per_s), sent_ms),
-            Announced::Absent => self.observe_rate(slot, None, sent_ms),
-            Announced::Malformed => self.not_understood(slot, "rate limit"),
+            ParsedHeader::Value(limit_per_s) => self.observe_rate(slot, Some(limit_per_s), sent_ms),
+            ParsedHeader::Absent => self.observe_rate(slot, None, sent_ms),
+            ParsedHeader::Malformed => self.not_understood(slot, "rate limit"),
         }
         match facts.leaving {
-            Announced::Value(true) => self.record_outcome(slot, TargetOutcome::Leaves),
-            Announced::Value(false) | Announced::Absent => {}
-            Announced::Malformed => self.not_understood(slot, "leaving"),
+            ParsedHeader::Value(true) => self.record_outcome(slot, TargetOutcome::Leaves),
+            ParsedHeader::Value(false) | ParsedHeader::Absent => {}
+            ParsedHeader::Malformed => self.not_understood(slot, "leaving"),
         }
     }
 
@@ -37,13 +37,13 @@
         self: &Rc<Self>,
         slot: TargetSlot,
         status: u16,
-        facts: &AnswerFacts,
+        facts: &ResponseMetadata,
         sent_ms: u64,
     ) {
         let is_turned_away = TURNED_AWAY.contains(&status);
         match facts.retry_after_ms {
-            Announced::Value(pause_ms) if is_turned_away => self.pause_asked(slot, pause_ms),
-            Announced::Malformed if is_turned_away => self.not_understood(slot, "retry after"),
+            ParsedHeader::Value(pause_ms) if is_turned_away => self.pause_asked(slot, pause_ms),
+            ParsedHeader::Malformed if is_turned_away => self.not_understood(slot, "retry after"),
             _ if facts.is_not_run => {}
             _ => {
                 if let Some(target) = self.targets.borrow_mut().get_mut(slot) {
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -18,7 +18,9 @@
 use crate::watch::targets::{Target, TargetSlot};
 use http1::Channel;
 use peers::EngineFault;
-use platform::{Continuation, Forwarding, PRIORITY_MOST, forward, relayed_head};
+use platform::{
+    Continuation, ForwardOptions, PRIORITY_MAX, forwarded_request_head, forwarded_response_head,
+};
 use prelude::{Avoided, Refusal, RefusalReason, TargetId};
 use settings::Mechanism;
 use std::future::Future;
@@ -107,7 +109,7 @@
     let whole = timeout(left, opened.read_whole(&mut held)).await;
     let reply = match whole {
         Ok(Ok(body)) if vouched => {
-            let head = relayed_head(&opened.head);
+            let head = forwarded_response_head(&opened.head);
             opened.finish(relay);
             Reply {
                 status,
@@ -334,15 +336,15 @@
     let Some(instance) = relay.instance_of(slot) else {
         return Tried::NotRun(NotRun::Unreachable);
     };
-    let forwarding = Forwarding {
+    let forwarding = ForwardOptions {
         instance: &instance,
         account: way.account_name(),
         left_ms: incoming.left_ms(way.route(), relay.now_ms()),
-        priority: Some(way.rank().min(PRIORITY_MOST)),
+        priority: Some(way.rank().min(PRIORITY_MAX)),
         copy_to: None,
         continuation,
     };
-    let head = forward(&incoming.head, incoming.body.len(), &forwarding);
+    let head = forwarded_request_head(&incoming.head, incoming.body.len(), &forwarding);
     let message = Message {
         request_id: incoming.id(),
         head: &head,
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -12,7 +12,7 @@
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
-use platform::{Forwarding, forward, relayed_head};
+use platform::{ForwardOptions, forwarded_request_head, forwarded_response_head};
 use routing::RouteKind;
 use std::rc::Rc;
 use std::time::Duration;
@@ -77,13 +77,13 @@
     let Some(instance) = relay.instance_of(slot) else {
         return Offer::NotRun(NotRun::Unreachable);
     };
-    let forwarding = Forwarding {
+    let forwarding = ForwardOptions {
         instance: &instance,
         account: way.account_name(),
         left_ms,
-        ..Forwarding::default()
+        ..ForwardOptions::default()
     };
-    let head = forward(&incoming.head, incoming.body.len(), &forwarding);
+    let head = forwarded_request_head(&incoming.head, incoming.body.len(), &forwarding);
     let message = Message {
         request_id: incoming.id(),
         head: &head,
@@ -151,7 +151,7 @@
     let status = opened.head.status;
     let reply = Reply {
         status,
-        head: relayed_head(&opened.head),
+        head: forwarded_response_head(&opened.head),
         body,
         own: None,
         held: None,
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -7,7 +7,7 @@
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
 use http1::{Channel, Decoder, Framing, Piece, ResponseHead};
-use platform::AnswerFacts;
+use platform::ResponseMetadata;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
 pub(crate) struct Opened {
     pub channel: Channel,
     pub head: ResponseHead,
-    pub facts: AnswerFacts,
+    pub facts: ResponseMetadata,
     decoder: Decoder,
     framing: Framing,
     /// The request was written whole, so that the channel may be used again.
@@ -261,13 +261,13 @@
 async fn read_own_head(
     channel: &mut Channel,
     message: Message<'_>,
-) -> Result<(ResponseHead, AnswerFacts, Framing), &'static str> {
+) -> Result<(ResponseHead, ResponseMetadata, Framing), &'static str> {
     for _ in 0..STRAY_ANSWERS_MAX {
         let head = channel
             .response()
             .await
             .map_err(|_| "the channel ended before an answer")?;
-        let facts = AnswerFacts::read(&head);
+        let facts = ResponseMetadata::read(&head);
         let framing = match message.bodiless {
             true => Framing::Length(0),
             false => head.framing,
@@ -390,7 +390,7 @@
             channels.rest(
                 self.open.slot,
                 self.channel,
-                self.facts.rest_limit_ms,
+                self.facts.keep_alive_ms,
                 now_ms,
             );
         }
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -18,7 +18,7 @@
 use crate::state::Relay;
 use http1::{Channel, Framing, push_chunk};
 use peers::EngineFault;
-use platform::{Continuation, relayed_head};
+use platform::{Continuation, forwarded_response_head};
 use routing::EngineTraits;
 use std::rc::Rc;
 use std::time::Duration;
@@ -163,7 +163,7 @@
         let due_ms = self.incoming.due_ms(self.way.route());
         let left_ms = due_ms.saturating_sub(self.relay.now_ms());
         let due = Instant::now() + Duration::from_millis(left_ms);
-        let head = relayed_head(&opened.head);
+        let head = forwarded_response_head(&opened.head);
         let mut mover = Mover::new(self.relay, self.engine);
         let mut silent_at = Instant::now() + SILENT_LIMIT;
         let mut doubted = false;
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -10,7 +10,7 @@
 use crate::state::Relay;
 use bytes::Bytes;
 use http1::{Channel, Listener, RequestHead};
-use platform::read_facts;
+use platform::parse_request_headers;
 use prelude::RequestKey;
 use routing::{CallerLimits, RouteKind, Verdict};
 use std::rc::Rc;
@@ -142,7 +142,7 @@
     mut held: Held,
     came_ms: u64,
 ) -> Result<(Incoming, Way), Refused> {
-    let facts = match read_facts(&head.headers) {
+    let facts = match parse_request_headers(&head.headers) {
         Ok(facts) => facts,
         Err(_) => {
             return Err((
--- a/components/relay/src/ingress/reading.rs
+++ b/components/relay/src/ingress/reading.rs
@@ -5,7 +5,7 @@
 use crate::state::Relay;
 use bytes::Bytes;
 use http1::{BodyError, Channel, ChannelError, Decoder, Framing, HeadError, Piece, RequestHead};
-use platform::read_facts;
+use platform::parse_request_headers;
 use prelude::AccountId;
 use routing::{CallerLimits, Verdict};
 use std::time::Duration;
@@ -103,7 +103,9 @@
 
 /// Whose a request seems to be, before its body is read. Whether it is taken is decided after that.
 fn account_of(relay: &Relay, head: &RequestHead) -> AccountId {
-    let key = read_facts(&head.headers).ok().and_then(|facts| facts.key);
+    let key = parse_request_headers(&head.headers)
+        .ok()
+        .and_then(|facts| facts.key);
     let host = head.headers.text("host").unwrap_or_default();
     let declared = relay.declared();
     let verdict = declared
--- a/components/relay/src/ingress/request.rs
+++ b/components/relay/src/ingress/request.rs
@@ -176,7 +176,7 @@
     pub(crate) fn own(own: LocalReply, request_id: Option<&str>) -> Self {
         Self {
             status: own.status(),
-            head: platform::refusal_head(own.status(), request_id, own.retry_after_ms()),
+            head: platform::local_reply_head(own.status(), request_id, own.retry_after_ms()),
             body: own.body(),
             own: Some(own),
             held: None,
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -1,7 +1,7 @@
 //! One target as a box knows it: what its entry says, what is believed of it, and what it showed.
 
 use crate::rate_limit::state::TargetRateLimit;
-use platform::WorkerLoad;
+use platform::TargetLoad;
 use policy::{Backoff, Suspicion, Trial, Warmup};
 use prelude::{DataCentreId, TargetId, Version};
 use routing::TargetEntry;
@@ -49,7 +49,7 @@
     /// Bytes of these requests.
     pub open_bytes: u64,
     /// What it last said of its load, and when.
-    pub load: Option<(WorkerLoad, u64)>,
+    pub load: Option<(TargetLoad, u64)>,
     /// The pause that it asked this box for.
     pub backoff: Backoff,
     /// The rate limit that it announces.
