--- a/components/relay/src/dispatch/reports.rs
+++ b/components/relay/src/dispatch/reports.rs
@@ -7,7 +7,7 @@
 use crate::state::Relay;
 use crate::watch::election::{View, another_asks, is_elected, rank};
 use crate::watch::targets::{Belief, Target, TargetSlot};
-use platform::{read_report, report_call};
+use platform::{parse_report, report_request};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -137,8 +137,8 @@
 
 async fn ask(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
     metrics::counter!("shuntpier_engine_reports").increment(1);
-    let answer = control(&relay, address, &report_call(address)).await;
-    let report = answer.and_then(|(status, body)| read_report(status, &body));
+    let answer = control(&relay, address, &report_request(address)).await;
+    let report = answer.and_then(|(status, body)| parse_report(status, &body));
     let now_ms = relay.now_ms();
     if report.is_some()
         && let Some(target) = relay.targets.borrow_mut().get_mut(slot)
@@ -147,7 +147,7 @@
     }
     if let Some(report) = report.filter(|report| report.is_leaving) {
         slog::info!(relay.log, "engine says that it leaves"; "engine" => relay.name_of(slot),
-            "gone_in_ms" => report.gone_in_ms, "running" => report.running);
+            "gone_in_ms" => report.leaves_in_ms, "running" => report.running);
         relay.record_outcome(slot, TargetOutcome::Leaves);
     }
 }
--- a/components/relay/src/migration/moved.rs
+++ b/components/relay/src/migration/moved.rs
@@ -3,7 +3,7 @@
 use crate::forwarding::control::control;
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetSlot};
-use platform::drop_copy_call;
+use platform::drop_copy_request;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
 /// seconds, of which no ledger knows: generations there are preempted.
 pub(super) fn free_copy(relay: &Rc<Relay>, holder: SocketAddr, copy: &str) {
     metrics::counter!("shuntpier_copies_freed").increment(1);
-    let (relay, call) = (relay.clone(), drop_copy_call(holder, copy));
+    let (relay, call) = (relay.clone(), drop_copy_request(holder, copy));
     tokio::task::spawn_local(async move {
         control(&relay, holder, &call).await;
     });
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/mover.rs
@@ -7,7 +7,7 @@
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetSlot};
 use peers::RelocateReply;
-use platform::{CopyReply, copy_call, read_copy_reply};
+use platform::{CopyReply, copy_request, parse_copy_reply};
 use prelude::{PoolId, TargetId};
 use routing::EngineTraits;
 use settings::Mechanism;
@@ -355,10 +355,10 @@
         let Some(to_address) = to_address else {
             return CopyReply::NoRoom { kept: None };
         };
-        let call = copy_call(self.source_address, &self.id, to_address, stops);
+        let call = copy_request(self.source_address, &self.id, to_address, stops);
         let reply = control(relay, self.source_address, &call).await;
         reply.map_or(CopyReply::Unknown { status: 0 }, |(status, body)| {
-            read_copy_reply(status, &body)
+            parse_copy_reply(status, &body)
         })
     }
 }
