--- a/components/relay/src/membership/registration.rs
+++ b/components/relay/src/membership/registration.rs
@@ -42,7 +42,7 @@
             () = relay.begins_to_follow.notified() => {}
             () = relay.stopping.cancelled() => {
                 if let Some(HeldLease { lease, .. }) = held {
-                    let ended = relay.store.end_lease(lease).await;
+                    let ended = relay.store.revoke_lease(lease).await;
                     if let Err(error) = ended {
                         slog::info!(relay.log, "own key not taken away"; "error" => %error);
                     }
@@ -132,7 +132,7 @@
 
 /// Writes this box's key under a lease of its own.
 async fn write_key(relay: &Relay, terms: KeyTerms) -> Result<HeldLease, StoreError> {
-    let granted = relay.store.lease(terms.lease_s()).await?;
+    let granted = relay.store.create_lease(terms.lease_s()).await?;
     let value = serde_json::to_vec(&lasting_card(relay))
         .map_err(|error| StoreError::NotDone(error.to_string()))?;
     let transaction = Transaction {
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -24,7 +24,7 @@
             self.keys.set(&now.peer_keys);
         }
         if before.store.address != now.store.address {
-            self.store.move_to(now.store.address);
+            self.store.set_address(now.store.address);
             self.store_doubted.notify_waiters();
         }
         if before.limits != now.limits {
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -269,7 +269,7 @@
 
     /// Puts declarations into force, where they are newer than those in force. Says whether they are.
     pub(crate) fn declare(&self, text: &[u8], source: &'static str) -> bool {
-        let table = match platform::decode_table(text) {
+        let table = match platform::decode_routing_table(text) {
             Ok(table) => table,
             Err(error) => {
                 slog::error!(self.log, "declarations not used"; "source" => source,
--- a/components/relay/src/watch/entries.rs
+++ b/components/relay/src/watch/entries.rs
@@ -2,7 +2,7 @@
 
 use crate::state::Relay;
 use crate::watch::targets::{Change, Missing, TargetBook};
-use platform::{TARGET_PREFIX, born_of, decode_target};
+use platform::{TARGET_PREFIX, decode_target, parse_incarnation};
 use prelude::Version;
 use routing::{TargetEntry, TargetLife};
 use store::{Versioned, WatchEvent};
@@ -60,7 +60,7 @@
             "version" => %item.version(), "bytes" => item.value.len(), "error" => %error);
     }
     let instance = item.key.strip_prefix(TARGET_PREFIX)?;
-    let born_ms = born_of(&item.value);
+    let born_ms = parse_incarnation(&item.value);
     Some(Listing::Refused(instance.into(), born_ms, item.version()))
 }
 
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.era_seen.set(Some(era));
-        self.store.heard_era(era);
+        self.store.observe_era(era);
         metrics::gauge!("shuntpier_store_era").set(f64::from(era));
         if let Some(before) = before {
             self.era_rose(before, era, source);
@@ -138,7 +138,7 @@
 
 /// Notes eras that this box hears of in answers to other calls than reads, for as long as it lives.
 pub(crate) async fn run_eras(relay: Rc<Relay>) {
-    let mut eras = relay.store.eras();
+    let mut eras = relay.store.subscribe_era();
     loop {
         let era = *eras.borrow_and_update();
         if let Some(era) = era {
--- a/components/relay/src/watch/target_snapshot.rs
+++ b/components/relay/src/watch/target_snapshot.rs
@@ -136,7 +136,7 @@
             targets.changed_at,
         )
     };
-    let lease = relay.store.lease(LEASE_S).await?;
+    let lease = relay.store.create_lease(LEASE_S).await?;
     let parts = entries.chunks(part_targets(entries.len()));
     let count = parts.len() as u16;
     let writes = parts.enumerate().map(|(at, listed)| {
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -207,7 +207,7 @@
 
 /// Reads a view as it is now, and says at which version.
 async fn read(relay: &Rc<Relay>, view: View) -> Result<Version, StoreError> {
-    let (items, version) = relay.store.list_at(prefix_of(view)).await?;
+    let (items, version) = relay.store.list_with_version(prefix_of(view)).await?;
     note_return(relay);
     metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
     let taken = take_list(relay, view, &items, version);
