--- a/components/soak/src/boxes.rs
+++ b/components/soak/src/boxes.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::FileChange;
 use fleet::caller::get;
-use fleet::store::{Door, Store};
+use fleet::store::{Store, StoreEndpoint};
 use miette::{IntoDiagnostic, WrapErr, miette};
 use serde_json::{Value, json};
 use std::fs::{File, OpenOptions};
@@ -20,7 +20,7 @@
     log: PathBuf,
     pub callers: SocketAddr,
     readiness: SocketAddr,
-    pub door: Door,
+    pub door: StoreEndpoint,
     _door: fleet::serve::Thread,
     child: Option<Child>,
 }
@@ -74,7 +74,7 @@
         let [callers, readiness, peers] = addresses else {
             return Err(miette!("a box has three addresses"));
         };
-        let (door_thread, door) = store.door();
+        let (door_thread, door) = store.open_endpoint();
         let file = json!({
             "box": { "name": name, "data_centre": "hall", "callers_address": callers,
                 "readiness_address": readiness, "peers_address": peers },
--- a/components/soak/src/lives.rs
+++ b/components/soak/src/lives.rs
@@ -71,7 +71,7 @@
     /// Takes a target off the list.
     pub(crate) fn unlist(&mut self, instance: &str) {
         self.entries.remove(instance);
-        self.store.unlist_target(instance);
+        self.store.deregister_target(instance);
     }
 
     /// Has the former process of a name write its entry late, and the present one write its own again.
@@ -122,7 +122,7 @@
         let instance = self.plain[at].target.instance.clone();
         let now_ms = self.now_ms();
         if self.soak.plant != Some(Plant::Unreadable) {
-            self.store.garble_target(&instance);
+            self.store.corrupt_target(&instance);
         }
         self.history.garbled.push(Garbled {
             target: instance.clone(),
@@ -142,7 +142,9 @@
     pub(crate) fn garble_all(&mut self) {
         let names = self.plain_names();
         if self.soak.plant != Some(Plant::Unreadable) {
-            names.iter().for_each(|name| self.store.garble_target(name));
+            names
+                .iter()
+                .for_each(|name| self.store.corrupt_target(name));
         }
         let limit = Duration::from_millis(REFUSED_MS + self.soak.slack_ms);
         let until = Instant::now() + limit;
--- a/components/soak/src/plan.rs
+++ b/components/soak/src/plan.rs
@@ -66,7 +66,7 @@
     /// The store has trouble, for one box or for all.
     Store {
         at: Option<usize>,
-        trouble: store::Trouble,
+        trouble: store::StoreFault,
         lasts_ms: u64,
     },
     /// The store forgets its history.
@@ -88,7 +88,7 @@
     /// The link before a plain target has trouble.
     Link {
         at: usize,
-        trouble: link::Trouble,
+        trouble: link::LinkFault,
         lasts_ms: u64,
     },
     /// An engine leaves, and another comes.
@@ -283,8 +283,8 @@
     }
 }
 
-fn store_trouble(rng: &mut ChaCha8Rng) -> store::Trouble {
-    use store::Trouble::*;
+fn store_trouble(rng: &mut ChaCha8Rng) -> store::StoreFault {
+    use store::StoreFault::*;
     let slow = Slow(rng.random_range(20..300));
     let all = [Busy, Many, Reset, Silent, LosesWrites, slow];
     *all.choose(rng).unwrap_or(&Busy)
@@ -296,8 +296,8 @@
     *all.choose(rng).unwrap_or(&Good)
 }
 
-fn link_trouble(rng: &mut ChaCha8Rng) -> link::Trouble {
-    use link::Trouble::*;
+fn link_trouble(rng: &mut ChaCha8Rng) -> link::LinkFault {
+    use link::LinkFault::*;
     let late = Late(rng.random_range(5..120));
     let all = [late, Reset, Silent, OneWay];
     *all.choose(rng).unwrap_or(&Reset)
--- a/components/soak/src/play.rs
+++ b/components/soak/src/play.rs
@@ -279,7 +279,7 @@
         self.later.push((now_ms + lasts_ms, Later::TakeBack(place)));
     }
 
-    pub(crate) fn trouble_store(&mut self, at: Option<usize>, trouble: store::Trouble) {
+    pub(crate) fn trouble_store(&mut self, at: Option<usize>, trouble: store::StoreFault) {
         let boxes = self.boxes.iter().enumerate();
         let doors = boxes.filter(|(other, _)| at.is_none_or(|at| at == *other));
         doors.for_each(|(_, one)| one.door.set(trouble));
@@ -288,7 +288,8 @@
     /// Declares the same again, under a higher version.
     fn declare(&mut self) {
         self.version += 1;
-        self.store.declare_toggled(self.version, self.key_holds);
+        self.store
+            .configure_toggled_key(self.version, self.key_holds);
     }
 
     fn toggle_key(&mut self) {
@@ -307,10 +308,10 @@
                 self.disturb(Trouble::Broken, Some(at), from_ms, now_ms);
             }
             Later::StoreWell { at, from_ms } => {
-                self.trouble_store(at, store::Trouble::None);
+                self.trouble_store(at, store::StoreFault::None);
                 self.disturb(Trouble::Store, at, from_ms, now_ms);
             }
-            Later::LinkWell(at) => self.plain[at].link.set(link::Trouble::None),
+            Later::LinkWell(at) => self.plain[at].link.set(link::LinkFault::None),
             Later::EngineWell { at, from_ms } => {
                 self.engines[at]
                     .pace
@@ -333,9 +334,9 @@
                 if let Some(evacuated) = self.history.evacuated.last_mut() {
                     evacuated.until_ms = evacuated.until_ms.min(now_ms);
                 }
-                self.store.take_back(place);
+                self.store.cancel_evacuation(place);
             }
-            Later::StoreGoes => self.trouble_store(None, store::Trouble::Reset),
+            Later::StoreGoes => self.trouble_store(None, store::StoreFault::Reset),
             Later::StoreBack {
                 from_ms,
                 age_ms,
--- a/components/soak/src/restore.rs
+++ b/components/soak/src/restore.rs
@@ -22,7 +22,7 @@
         if last_ms.is_some_and(|last_ms| now_ms < last_ms + COPY_EACH_MS) {
             return;
         }
-        self.copies.push_back((now_ms, self.store.copy()));
+        self.copies.push_back((now_ms, self.store.snapshot()));
         if self.copies.len() > COPIES_MAX {
             self.copies.pop_front();
         }
@@ -54,32 +54,33 @@
     }
 
     pub(crate) fn store_back(&mut self, from_ms: u64, age_ms: u64, again_ms: u64, now_ms: u64) {
-        let of_age = |copy: &&(u64, store::StoreCopy)| copy.0 + age_ms <= from_ms;
+        let of_age = |copy: &&(u64, store::StoreSnapshot)| copy.0 + age_ms <= from_ms;
         let copy = self.copies.iter().rev().find(of_age);
         if let Some((_, copy)) = copy.or(self.copies.front()) {
-            self.store.come_back_from(copy);
+            self.store.restore(copy);
         }
-        self.trouble_store(None, store::Trouble::None);
+        self.trouble_store(None, store::StoreFault::None);
         let again = Later::AllAgain { from_ms };
         self.later.push((now_ms + again_ms, again));
     }
 
     /// Writes again what holds, and has what does not lapse.
     pub(crate) fn write_all_again(&mut self, from_ms: u64, now_ms: u64) {
-        self.store.declare_toggled(self.version, self.key_holds);
+        self.store
+            .configure_toggled_key(self.version, self.key_holds);
         for place in PLACES {
             let is_back =
                 |later: &(u64, Later)| matches!(later.1, Later::TakeBack(other) if other == place);
             match self.later.iter().any(is_back) {
                 true if self.soak.plant == Some(Plant::Evacuation) => {}
                 true => self.store.evacuate(place),
-                false => self.store.take_back(place),
+                false => self.store.cancel_evacuation(place),
             }
         }
         for key in self.store.keys("servers/") {
             let instance = key.trim_start_matches("servers/");
             if !self.entries.contains_key(instance) {
-                self.store.unlist_target(instance);
+                self.store.deregister_target(instance);
             }
         }
         self.write_entries();
@@ -92,7 +93,7 @@
         for (instance, entry) in self.entries.clone() {
             let mut garbled = self.history.garbled.iter();
             match garbled.any(|garbled| garbled.target == instance && now_ms < garbled.until_ms) {
-                true => self.store.garble_target(&instance),
+                true => self.store.corrupt_target(&instance),
                 false => self.write(&instance, entry),
             }
         }
--- a/components/soak/src/world.rs
+++ b/components/soak/src/world.rs
@@ -8,7 +8,7 @@
 use crate::play::Soak;
 use fleet::engine::{EngineTarget, Fabric};
 use fleet::link::Link;
-use fleet::store::{Store, StoreCopy};
+use fleet::store::{Store, StoreSnapshot};
 use fleet::target::{Act, Record, Target};
 use miette::miette;
 use std::collections::{HashMap, VecDeque};
@@ -101,7 +101,7 @@
     pub began: Instant,
     pub store: Store,
     /// Copies of the store, the latest last, with their times.
-    pub copies: VecDeque<(u64, StoreCopy)>,
+    pub copies: VecDeque<(u64, StoreSnapshot)>,
     pub version: u64,
     pub key_holds: bool,
     pub boxes: Vec<BoxProcess>,
@@ -124,7 +124,7 @@
 impl<'a> World<'a> {
     pub(crate) fn start(soak: &'a Soak, folder: &Path, sizes: Sizes) -> miette::Result<Self> {
         let store = Store::default();
-        store.declare_toggled(1, true);
+        store.configure_toggled_key(1, true);
         if soak.plant == Some(Plant::Era) {
             store.hide_era();
         }
@@ -295,7 +295,7 @@
             ..
         } = entry;
         self.store
-            .list_life(place, (instance, born_ms), service, address, state);
+            .register_incarnation(place, (instance, born_ms), service, address, state);
     }
 
     /// Has a target say that it leaves, as far as the store hears of it.
