--- a/components/soak/src/announced.rs
+++ b/components/soak/src/announced.rs
@@ -5,7 +5,7 @@
 use crate::lives::SERVES_ON_MS;
 use crate::plant::Plant;
 use crate::world::{Later, World};
-use fleet::target::{Act, Record};
+use fleet::target::{Behaviour, RequestRecorder};
 use std::collections::HashMap;
 
 /// A limit binds boxes from this time after it was first named.
@@ -42,11 +42,11 @@
         let (target, record) = match is_engine {
             true => (
                 self.engines[at].instance.clone(),
-                self.engines[at].record.clone(),
+                self.engines[at].recorder.clone(),
             ),
             false => (
                 self.plain[at].target.instance.clone(),
-                self.plain[at].target.record.clone(),
+                self.plain[at].target.recorder.clone(),
             ),
         };
         let now_ms = self.now_ms();
@@ -59,7 +59,7 @@
             return;
         }
         let limit_per_s = f64::from(limit_tenths_per_s) / 10.0;
-        record.announce(&[("Server-Limit", &limit_per_s.to_string())]);
+        record.set_extra_headers(&[("Server-Limit", &limit_per_s.to_string())]);
         self.history.limits.push(AnnouncedLimit {
             target,
             life,
@@ -79,7 +79,9 @@
         let target = old.target.instance.clone();
         let now_ms = self.now_ms();
         let life = self.entries.get(&target).map_or(0, |entry| entry.life);
-        old.target.record.announce(&[("Server-Leaving", "1")]);
+        old.target
+            .recorder
+            .set_extra_headers(&[("Server-Leaving", "1")]);
         self.note_says_it_leaves(&target, life, now_ms);
         self.retired.push(old);
         let listed_ms = now_ms + store_late_ms;
@@ -98,17 +100,22 @@
 
     /// Has a plain target turn all requests away for a time, and ask for a pause.
     pub(crate) fn shed(&mut self, at: usize, pause_ms: u64, lasts_ms: u64) {
-        let record = self.plain[at].target.record.clone();
-        record.will(&vec![Act::Sheds(pause_ms); SHED_MAX]);
+        let record = self.plain[at].target.recorder.clone();
+        record.queue_behaviours(&vec![Behaviour::Sheds(pause_ms); SHED_MAX]);
         let well = Later::ForgetActs(record);
         self.later.push((self.now_ms() + lasts_ms, well));
     }
 
     /// Has a target announce something else than the history says, where that is planted.
-    pub(crate) fn plant_announcements(&mut self, target: &str, life: u64, record: &Record) {
+    pub(crate) fn plant_announcements(
+        &mut self,
+        target: &str,
+        life: u64,
+        record: &RequestRecorder,
+    ) {
         match self.soak.plant {
             Some(Plant::Limit) => {
-                record.announce(&[("Server-Limit", PLANTED_ANNOUNCED)]);
+                record.set_extra_headers(&[("Server-Limit", PLANTED_ANNOUNCED)]);
                 self.history.limits.push(AnnouncedLimit {
                     target: target.to_owned(),
                     life,
--- a/components/soak/src/lives.rs
+++ b/components/soak/src/lives.rs
@@ -164,7 +164,7 @@
     pub(crate) fn restart_all(&mut self) {
         for at in 0..self.plain.len() {
             self.target_restarts(at);
-            self.plain[at].target.record.forget_acts();
+            self.plain[at].target.recorder.clear_behaviours();
         }
         for at in 0..self.engines.len() {
             self.engine_restarts(at, false);
--- a/components/soak/src/plan.rs
+++ b/components/soak/src/plan.rs
@@ -2,7 +2,7 @@
 
 use fleet::link;
 use fleet::store;
-use fleet::target::Act;
+use fleet::target::Behaviour;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -84,7 +84,7 @@
     /// A plain target leaves, and another comes.
     TargetLeaves { at: usize },
     /// A plain target does these with its next requests.
-    Acts { at: usize, acts: Vec<Act> },
+    Acts { at: usize, acts: Vec<Behaviour> },
     /// The link before a plain target has trouble.
     Link {
         at: usize,
@@ -303,8 +303,8 @@
     *all.choose(rng).unwrap_or(&Reset)
 }
 
-fn acts(rng: &mut ChaCha8Rng) -> Vec<Act> {
-    use Act::*;
+fn acts(rng: &mut ChaCha8Rng) -> Vec<Behaviour> {
+    use Behaviour::*;
     let all = [
         Fails,
         Full,
--- a/components/soak/src/play.rs
+++ b/components/soak/src/play.rs
@@ -194,7 +194,7 @@
             Step::ToggleKey => self.toggle_key(),
             Step::Storm { changes } => (0..*changes).for_each(|_| self.declare()),
             Step::TargetLeaves { at } => self.target_leaves(*at, now_ms),
-            Step::Acts { at, acts } => self.plain[*at].target.record.will(acts),
+            Step::Acts { at, acts } => self.plain[*at].target.recorder.queue_behaviours(acts),
             Step::Link {
                 at,
                 trouble,
@@ -226,8 +226,8 @@
             Step::EngineLeaves { at } => self.engine_leaves(*at, now_ms),
             Step::EngineCrash { at, lasts_ms } => {
                 self.engines[*at]
-                    .pace
-                    .crashed
+                    .behaviour
+                    .truncates_events
                     .store(true, Ordering::Relaxed);
                 let well = Later::EngineWell {
                     at: *at,
@@ -314,8 +314,8 @@
             Later::LinkWell(at) => self.plain[at].link.set(link::LinkFault::None),
             Later::EngineWell { at, from_ms } => {
                 self.engines[at]
-                    .pace
-                    .crashed
+                    .behaviour
+                    .truncates_events
                     .store(false, Ordering::Relaxed);
                 self.history.crashes.push((from_ms, now_ms));
             }
@@ -327,8 +327,8 @@
                 }
             }
             Later::GoodFile(at) => self.boxes[at].write_file(),
-            Later::AnnounceNothing(record) => record.announce(&[]),
-            Later::ForgetActs(record) => record.forget_acts(),
+            Later::AnnounceNothing(record) => record.set_extra_headers(&[]),
+            Later::ForgetActs(record) => record.clear_behaviours(),
             Later::TakeBack(place) => {
                 // What the check allows again from then on may be sent a moment later.
                 if let Some(evacuated) = self.history.evacuated.last_mut() {
@@ -360,7 +360,7 @@
         let lost_ms = self.now_ms();
         self.boxes.iter_mut().for_each(BoxProcess::kill);
         for plain in &self.plain {
-            plain.target.record.forget_acts();
+            plain.target.recorder.clear_behaviours();
         }
         let until_ms = lost_ms + RECOVERY_MS + self.soak.slack_ms;
         self.disturb(Trouble::Broken, None, lost_ms, until_ms);
--- a/components/soak/src/world.rs
+++ b/components/soak/src/world.rs
@@ -6,10 +6,10 @@
 use crate::plan::{PLACES, Sizes};
 use crate::plant::Plant;
 use crate::play::Soak;
-use fleet::engine::{EngineTarget, Fabric};
+use fleet::engine::{CopyRegistry, EngineTarget};
 use fleet::link::Link;
 use fleet::store::{Store, StoreSnapshot};
-use fleet::target::{Act, Record, Target};
+use fleet::target::{Behaviour, RequestRecorder, Target};
 use miette::miette;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -55,9 +55,9 @@
     EngineGone(usize),
     GoodFile(usize),
     /// A target announces nothing any more.
-    AnnounceNothing(Record),
+    AnnounceNothing(RequestRecorder),
     /// A target does what it was to do no more.
-    ForgetActs(Record),
+    ForgetActs(RequestRecorder),
     TakeBack(&'static str),
     /// The store goes away.
     StoreGoes,
@@ -84,7 +84,7 @@
 
 /// What a life of a target saw.
 pub(crate) struct Kept {
-    record: Record,
+    record: RequestRecorder,
     is_engine: bool,
     life: u64,
 }
@@ -108,7 +108,7 @@
     pub stopping: Vec<Option<u64>>,
     pub plain: Vec<Plain>,
     pub engines: Vec<EngineTarget>,
-    pub fabric: Fabric,
+    pub fabric: CopyRegistry,
     pub started: usize,
     pub records: Vec<Kept>,
     /// What targets that are listed write of themselves.
@@ -158,7 +158,7 @@
             stopping: vec![None; sizes.boxes],
             plain: Vec::new(),
             engines: Vec::new(),
-            fabric: Fabric::default(),
+            fabric: CopyRegistry::default(),
             started: 0,
             records: Vec::new(),
             entries: HashMap::new(),
@@ -214,21 +214,21 @@
     pub(crate) fn start_target(&mut self, instance: &str) -> Plain {
         let target = Target::start(instance);
         let planted = match self.soak.plant {
-            Some(Plant::Twice) => Some(Act::RunsTwice),
-            Some(Plant::NotRun) => Some(Act::DeniesRun),
-            Some(Plant::Mixed) => Some(Act::OtherBody),
-            Some(Plant::Budget) => Some(Act::Fails),
-            Some(Plant::Pause) => Some(Act::ShedsUntold(PLANTED_PAUSE_MS)),
+            Some(Plant::Twice) => Some(Behaviour::RunsTwice),
+            Some(Plant::NotRun) => Some(Behaviour::DeniesRun),
+            Some(Plant::Mixed) => Some(Behaviour::OtherBody),
+            Some(Plant::Budget) => Some(Behaviour::Fails),
+            Some(Plant::Pause) => Some(Behaviour::ShedsUntold(PLANTED_PAUSE_MS)),
             _ => None,
         };
         if let Some(act) = planted {
-            target.record.will(&vec![act; PLANTED_ACTS]);
+            target.recorder.queue_behaviours(&vec![act; PLANTED_ACTS]);
         }
         let link = Link::start(target.address);
         let life = self.begin_life(instance, "records", link.address);
-        self.plant_announcements(instance, life, &target.record);
+        self.plant_announcements(instance, life, &target.recorder);
         self.records.push(Kept {
-            record: target.record.clone(),
+            record: target.recorder.clone(),
             is_engine: false,
             life,
         });
@@ -238,15 +238,17 @@
     /// Starts a life of an engine, and lists it.
     pub(crate) fn start_engine(&mut self, instance: &str) -> EngineTarget {
         let engine = EngineTarget::start(instance, &self.fabric);
-        let pace = &engine.pace;
-        pace.events.store(EVENTS, Ordering::Relaxed);
-        pace.pause_ms.store(EVENT_PAUSE_MS, Ordering::Relaxed);
+        let pace = &engine.behaviour;
+        pace.event_count.store(EVENTS, Ordering::Relaxed);
+        pace.event_interval_ms
+            .store(EVENT_PAUSE_MS, Ordering::Relaxed);
         let is = |plant| self.soak.plant == Some(plant);
-        pace.skips.store(is(Plant::Order), Ordering::Relaxed);
+        pace.skips_third_event
+            .store(is(Plant::Order), Ordering::Relaxed);
         pace.runs_twice.store(is(Plant::TwoRuns), Ordering::Relaxed);
         let life = self.begin_life(instance, "model", engine.address);
         self.records.push(Kept {
-            record: engine.record.clone(),
+            record: engine.recorder.clone(),
             is_engine: true,
             life,
         });
@@ -333,7 +335,7 @@
         self.boxes.iter_mut().for_each(BoxProcess::kill);
         let mut history = std::mem::take(&mut self.history);
         for kept in &self.records {
-            for seen in kept.record.seen() {
+            for seen in kept.record.requests() {
                 let kind = match (kept.is_engine, seen.path.starts_with("/unsafe/")) {
                     (true, _) => Kind::Stream,
                     (false, true) => Kind::Once,
@@ -344,8 +346,11 @@
                     target: seen.target,
                     life: kept.life,
                     kind,
-                    at_ms: seen.at.saturating_duration_since(self.began).as_millis() as u64,
-                    ran: seen.ran,
+                    at_ms: seen
+                        .received_at
+                        .saturating_duration_since(self.began)
+                        .as_millis() as u64,
+                    ran: seen.has_run,
                     pause_ms: seen.pause_ms,
                 });
             }
