--- a/components/soak/src/announced_tests.rs
+++ b/components/soak/src/announced_tests.rs
@@ -77,11 +77,11 @@
             at: 0,
             sent_ms: at_ms,
             ended_ms: at_ms + 10,
-            outcome: Outcome::Answered(fleet::caller::Got {
+            outcome: Outcome::Answered(fleet::caller::Response {
                 status: 200,
                 head: String::new(),
                 body: format!("answer to {id} by t").into_bytes(),
-                whole: true,
+                is_complete: true,
             }),
         });
         history.arrivals.push(Arrival {
--- a/components/soak/src/boxes.rs
+++ b/components/soak/src/boxes.rs
@@ -1,7 +1,7 @@
 //! Boxes as processes of their own, started and ended by their ids.
 
 use crate::plan::FileChange;
-use fleet::caller::get;
+use fleet::caller::get_status;
 use fleet::store::{Store, StoreEndpoint};
 use miette::{IntoDiagnostic, WrapErr, miette};
 use serde_json::{Value, json};
@@ -189,7 +189,7 @@
 
     /// Whether it takes new channels.
     pub fn is_ready(&self) -> bool {
-        get(self.readiness, "/v1/readiness") == Some(200)
+        get_status(self.readiness, "/v1/readiness") == Some(200)
     }
 }
 
--- a/components/soak/src/callers.rs
+++ b/components/soak/src/callers.rs
@@ -1,7 +1,7 @@
 //! Callers: each sends one call after another, through any box, often on a channel that it keeps.
 
 use crate::history::{Call, Key, Kind, Outcome};
-use fleet::caller::{Caller, chat, fresh_id, plain};
+use fleet::caller::{Caller, call_request, fresh_id, generation_request};
 use fleet::config::{KEY, TOGGLED_KEY};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -82,7 +82,7 @@
     /// Makes some calls on one channel.
     fn serve_channel(&mut self, at: usize, calls: &mut Vec<Call>) {
         let count = self.rng.random_range(1..=CALLS_A_CHANNEL);
-        let mut channel = Caller::try_open_for(self.boxes[at], SILENCE);
+        let mut channel = Caller::try_connect_with_timeout(self.boxes[at], SILENCE);
         for _ in 0..count {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -95,7 +95,7 @@
             }
         }
         if let Some(channel) = channel.take() {
-            channel.leave();
+            channel.disconnect();
         }
     }
 
@@ -125,13 +125,13 @@
             None => (Outcome::NoChannel, false),
             Some(channel) => match channel
                 .try_send(&request)
-                .then(|| channel.answer())
+                .then(|| channel.read_response())
                 .flatten()
             {
                 None => (Outcome::Cut, false),
                 Some(got) => {
-                    let closes = got.field("connection").as_deref() == Some("close");
-                    let goes_on = got.whole && !closes;
+                    let closes = got.header("connection").as_deref() == Some("close");
+                    let goes_on = got.is_complete && !closes;
                     (Outcome::Answered(got), goes_on)
                 }
             },
@@ -151,9 +151,9 @@
 
 fn request(id: &str, kind: Kind, key: Key) -> Vec<u8> {
     let request = match kind {
-        Kind::Repeatable => plain(id, "/safe/x", "", ""),
-        Kind::Once => plain(id, "/unsafe/x", "{\"do\":\"it\"}", ""),
-        Kind::Stream => chat(id),
+        Kind::Repeatable => call_request(id, "/safe/x", "", ""),
+        Kind::Once => call_request(id, "/unsafe/x", "{\"do\":\"it\"}", ""),
+        Kind::Stream => generation_request(id),
     };
     match key {
         Key::Kept => request,
--- a/components/soak/src/checks.rs
+++ b/components/soak/src/checks.rs
@@ -3,7 +3,7 @@
 use crate::announced::{limits_are_kept, pauses_are_kept, words_on_leaving_hold};
 use crate::budget::budget;
 use crate::history::{Arrival, Broken, Call, Disturbed, History, Key, Kind, Outcome, Trouble};
-use fleet::caller::{Got, events};
+use fleet::caller::{Response, expected_events};
 use std::collections::HashMap;
 use std::ops::Range;
 
@@ -96,7 +96,7 @@
     of_id.map_or(0, |all| all.iter().filter(|arrival| arrival.ran).count())
 }
 
-fn got(call: &Call) -> Option<&Got> {
+fn got(call: &Call) -> Option<&Response> {
     match &call.outcome {
         Outcome::Answered(got) => Some(got),
         Outcome::NoChannel | Outcome::Cut => None,
@@ -125,7 +125,7 @@
             .filter(|arrival| arrival.ran)
             .map(|arrival| format!("answer to {} by {}", call.id, arrival.target));
         // An answer that is cut off is seen as such by its length.
-        if got.whole && !own.any(|text| text == got.text()) {
+        if got.is_complete && !own.any(|text| text == got.text()) {
             broken.push(format!("call {} was answered `{}`", call.id, got.text()));
         }
     }
@@ -143,9 +143,9 @@
         let Some(got) = got(call).filter(|got| got.status == 200) else {
             continue;
         };
-        let all = events(&call.id, history.events);
+        let all = expected_events(&call.id, history.events);
         let text = got.text();
-        if got.whole && text != all {
+        if got.is_complete && text != all {
             broken.push(format!("stream {} looks whole and is not", call.id));
         } else if !all.starts_with(&text) {
             broken.push(format!(
@@ -319,7 +319,7 @@
     match &call.outcome {
         Outcome::NoChannel => false,
         Outcome::Cut => true,
-        Outcome::Answered(got) => !got.whole,
+        Outcome::Answered(got) => !got.is_complete,
     }
 }
 
--- a/components/soak/src/checks_tests.rs
+++ b/components/soak/src/checks_tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::history::{Evacuated, Garbled, KeyChange, Leaving};
 
-fn answered(status: u16, body: &str, whole: bool) -> Outcome {
-    Outcome::Answered(Got {
+fn answered(status: u16, body: &str, is_complete: bool) -> Outcome {
+    Outcome::Answered(Response {
         status,
         head: String::new(),
         body: body.as_bytes().to_vec(),
-        whole,
+        is_complete,
     })
 }
 
@@ -54,8 +54,18 @@
 fn finds_nothing_where_all_is_kept() {
     let calls = vec![
         call("1", Kind::Once, 0, answered(200, "answer to 1 by t", true)),
-        call("2", Kind::Stream, 0, answered(200, &events("2", 3), true)),
-        call("3", Kind::Stream, 0, answered(200, &events("3", 2), false)),
+        call(
+            "2",
+            Kind::Stream,
+            0,
+            answered(200, &expected_events("2", 3), true),
+        ),
+        call(
+            "3",
+            Kind::Stream,
+            0,
+            answered(200, &expected_events("3", 2), false),
+        ),
         call("4", Kind::Repeatable, 0, answered(503, "", true)),
     ];
     let arrivals = vec![
@@ -80,9 +90,14 @@
 
 #[test]
 fn finds_a_stream_that_looks_whole_and_one_with_a_gap() {
-    let gap = events("2", 3).replace("id: 2\ndata: 2 2\n\n", "");
+    let gap = expected_events("2", 3).replace("id: 2\ndata: 2 2\n\n", "");
     let calls = vec![
-        call("1", Kind::Stream, 0, answered(200, &events("1", 2), true)),
+        call(
+            "1",
+            Kind::Stream,
+            0,
+            answered(200, &expected_events("1", 2), true),
+        ),
         call("2", Kind::Stream, 0, answered(200, &gap, false)),
     ];
     let found = promises(&history(calls, Vec::new()));
--- a/components/soak/src/history.rs
+++ b/components/soak/src/history.rs
@@ -1,6 +1,6 @@
 //! What callers saw, what was done to boxes, and what came out.
 
-use fleet::caller::Got;
+use fleet::caller::Response;
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -32,7 +32,7 @@
     /// The channel was closed, or silent for too long, before an answer began.
     Cut,
     /// An answer began.
-    Answered(Got),
+    Answered(Response),
 }
 
 /// One call of one caller. Times are since the run began.
--- a/components/soak/src/lives.rs
+++ b/components/soak/src/lives.rs
@@ -4,7 +4,7 @@
 use crate::plant::Plant;
 use crate::play::RECOVERY_MS;
 use crate::world::{Entry, LOOK_EACH, Later, World};
-use fleet::caller::{Caller, chat, fresh_id, plain};
+use fleet::caller::{Caller, call_request, fresh_id, generation_request};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -174,8 +174,9 @@
         let until = Instant::now() + Duration::from_millis(RECOVERY_MS + self.soak.slack_ms);
         let mut in_a_row = 0;
         while in_a_row < ROUNDS && Instant::now() < until {
-            let serves =
-                |address| is_served(address) && is_answered_well(address, &chat(&fresh_id()));
+            let serves = |address| {
+                is_served(address) && is_answered_well(address, &generation_request(&fresh_id()))
+            };
             let served = self.boxes.iter().all(|one| serves(one.callers));
             in_a_row = if served { in_a_row + 1 } else { 0 };
             std::thread::sleep(LOOK_EACH);
@@ -186,15 +187,15 @@
 
 /// Whether a box serves a call now.
 pub(crate) fn is_served(address: SocketAddr) -> bool {
-    is_answered_well(address, &plain(&fresh_id(), "/safe/x", "", ""))
+    is_answered_well(address, &call_request(&fresh_id(), "/safe/x", "", ""))
 }
 
 /// Whether a box answers a request as it is to.
 fn is_answered_well(address: SocketAddr, request: &[u8]) -> bool {
-    let channel = Caller::try_open_for(address, Duration::from_secs(2));
+    let channel = Caller::try_connect_with_timeout(address, Duration::from_secs(2));
     let answer = channel.and_then(|mut channel| {
         let sent = channel.try_send(request);
-        sent.then(|| channel.answer()).flatten()
+        sent.then(|| channel.read_response()).flatten()
     });
     answer.is_some_and(|got| got.status < 500)
 }
--- a/components/soak/src/play.rs
+++ b/components/soak/src/play.rs
@@ -76,7 +76,7 @@
     history.unreadable = unreadable;
     let broken = check(&history);
     let served = history.calls.iter().filter(
-        |call| matches!(&call.outcome, Outcome::Answered(got) if got.status == 200 && got.whole),
+        |call| matches!(&call.outcome, Outcome::Answered(got) if got.status == 200 && got.is_complete),
     );
     let logs = match broken.is_empty() {
         true => {
