--- a/components/soak/src/boxes.rs
+++ b/components/soak/src/boxes.rs
@@ -21,7 +21,7 @@
     pub callers: SocketAddr,
     readiness: SocketAddr,
     pub door: StoreEndpoint,
-    _door: fleet::serve::Thread,
+    _door: fleet::serve::ServerThread,
     child: Option<Child>,
 }
 
