--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -33,7 +33,7 @@
 
 /// The refusal of a request that is withheld; none where it may be sent.
 pub(crate) fn withheld(shared: &Shared, request: RequestKey) -> Option<Refusal> {
-    let withholds = lock(&shared.quarantine).withholds(request, shared.now_ms());
+    let withholds = lock(&shared.quarantine).is_withheld(request, shared.now_ms());
     if withholds {
         slog::info!(shared.log, "request withheld"; "request" => %request);
     }
@@ -46,7 +46,7 @@
 
 /// Notes that a request was answered well.
 pub(crate) fn served(shared: &Arc<Shared>, request: RequestKey) {
-    let acquittal = lock(&shared.quarantine).served(request, shared.now_ms());
+    let acquittal = lock(&shared.quarantine).record_answer(request, shared.now_ms());
     if let Some(acquittal) = acquittal {
         slog::info!(shared.log, "request acquitted by an answer"; "request" => %request);
         spread_acquittal(shared, acquittal);
@@ -95,9 +95,9 @@
     let mut quarantine = lock(&shared.quarantine);
     let mut news = false;
     for end in ends {
-        let before = quarantine.withholds(end.request, now_ms);
-        news |= quarantine.ended(end, now_ms);
-        if !before && quarantine.withholds(end.request, now_ms) {
+        let before = quarantine.is_withheld(end.request, now_ms);
+        news |= quarantine.record_crash(end, now_ms);
+        if !before && quarantine.is_withheld(end.request, now_ms) {
             slog::warn!(shared.log, "request to be withheld"; "request" => %end.request);
         }
     }
--- a/components/node/src/spread.rs
+++ b/components/node/src/spread.rs
@@ -92,7 +92,7 @@
         Notice::Ends(ends) => take_ends(shared, ends),
         Notice::Acquitted(acquittal) => {
             let now_ms = shared.now_ms();
-            lock(&shared.quarantine).acquitted(acquittal, now_ms)
+            lock(&shared.quarantine).apply_acquittal(acquittal, now_ms)
         }
     };
     if news {
@@ -155,7 +155,7 @@
         revisions: lock(&shared.in_force).revisions(),
         targets: lock(&shared.targets).words(),
         newer,
-        withheld: lock(&shared.quarantine).ends_of_withheld(shared.now_ms()),
+        withheld: lock(&shared.quarantine).crashes_of_withheld(shared.now_ms()),
     }
 }
 
--- a/components/node/src/targets.rs
+++ b/components/node/src/targets.rs
@@ -2,7 +2,7 @@
 //! leaving, then gone, never back. A target that comes back does so in a higher life.
 
 use peers::{StateOfTarget, TargetWord};
-use policy::{Backoff, EngineState};
+use policy::{EngineState, RetryAfterBackoff};
 use prelude::{TargetId, TargetIncarnation, TargetKey};
 use std::collections::{HashMap, HashSet};
 
@@ -17,7 +17,7 @@
     failures: u32,
     own_open: u32,
     /// The pause that it asked this box for.
-    backoff: Backoff,
+    backoff: RetryAfterBackoff,
 }
 
 /// All targets.
@@ -127,17 +127,19 @@
     /// Notes that a target turned a call of this box away and asked for a pause.
     pub fn asked_for_pause(&mut self, id: TargetId, pause_ms: u64, now_ms: u64) {
         let record = self.records.entry(id).or_default();
-        record.backoff.asked(pause_ms, rand::random(), now_ms);
+        record
+            .backoff
+            .record_pause(pause_ms, rand::random(), now_ms);
     }
 
     /// What is left of the pause that a target asked this box for; none where it takes calls.
     pub fn pause_left_ms(&self, id: TargetId, now_ms: u64) -> Option<u64> {
-        self.records.get(&id)?.backoff.left_ms(now_ms)
+        self.records.get(&id)?.backoff.remaining_ms(now_ms)
     }
 
     /// The targets that asked this box for pauses which are not over.
     pub fn paused(&self, now_ms: u64) -> Vec<TargetId> {
-        let is_paused = |record: &Record| record.backoff.left_ms(now_ms).is_some();
+        let is_paused = |record: &Record| record.backoff.remaining_ms(now_ms).is_some();
         let paused = self.records.iter().filter(|(_, record)| is_paused(record));
         paused.map(|(id, _)| *id).collect()
     }
@@ -145,14 +147,14 @@
     /// Notes that a call is sent to a target.
     pub fn sent(&mut self, id: TargetId, now_ms: u64) {
         if let Some(record) = self.records.get_mut(&id) {
-            record.backoff.sent(now_ms);
+            record.backoff.record_sent(now_ms);
         }
     }
 
     /// Notes that a target took a call that was sent at a time.
     pub fn took(&mut self, id: TargetId, sent_ms: u64) {
         if let Some(record) = self.records.get_mut(&id) {
-            record.backoff.answered(sent_ms);
+            record.backoff.record_accepted(sent_ms);
         }
     }
 
--- a/components/policy/src/health/mod.rs
+++ b/components/policy/src/health/mod.rs
@@ -1,6 +1,6 @@
 //! Which targets failed lately, and which requests they failed under.
 
-pub(crate) mod backoff;
+pub(crate) mod outlier;
+pub(crate) mod probation;
 pub(crate) mod quarantine;
-pub(crate) mod suspicion;
-pub(crate) mod trial;
+pub(crate) mod retry_after;
--- a/components/policy/src/health/suspicion.rs
+++ b/components/policy/src/health/outlier.rs
@@ -16,23 +16,23 @@
 
 /// What one target did lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Suspicion {
+pub struct OutlierEjection {
     failures_in_a_row: u32,
     share: f64,
     seen: u32,
     until_ms: u64,
 }
 
-impl Suspicion {
+impl OutlierEjection {
     /// Notes an answer that the target was to give.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures_in_a_row = 0;
         self.share -= WEIGHT * self.share;
         self.seen = self.seen.saturating_add(1);
     }
 
     /// Notes that the target failed a request.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
         self.share += WEIGHT * (1.0 - self.share);
         self.seen = self.seen.saturating_add(1);
@@ -46,7 +46,7 @@
     }
 
     /// Whether the target is passed over now.
-    pub fn is_passed_over(&self, now_ms: u64) -> bool {
+    pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.until_ms
     }
 
@@ -57,5 +57,5 @@
 }
 
 #[cfg(test)]
-#[path = "suspicion_tests.rs"]
+#[path = "outlier_tests.rs"]
 mod tests;
--- a/components/policy/src/health/trial.rs
+++ b/components/policy/src/health/probation.rs
@@ -22,7 +22,7 @@
 
 /// What one engine did lately, as its pool's dispatcher hears it from all boxes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trial {
+pub struct Probation {
     failures: u32,
     failed_ms: u64,
     until_ms: u64,
@@ -32,9 +32,9 @@
     began_ms: Option<u64>,
 }
 
-impl Trial {
+impl Probation {
     /// Notes that the engine failed a request. Failures at one time count once.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         if self.failures > 0 && now_ms > self.failed_ms + FORGET_MS {
             self.failures = 0;
         }
@@ -51,23 +51,23 @@
     /// either: engines that read many prompts are silent for long, and without them the others would be the next.
     ///
     /// Returns whether it counts as one.
-    pub fn silent(&mut self, now_ms: u64) -> bool {
+    pub fn record_silence(&mut self, now_ms: u64) -> bool {
         let within = |at_ms: Option<u64>, ms| at_ms.is_some_and(|at_ms| now_ms < at_ms + ms);
         if within(self.event_ms, ALIVE_MS) && within(self.began_ms, BEGINS_MS) {
             return false;
         }
-        self.failed(now_ms);
+        self.record_failure(now_ms);
         true
     }
 
     /// Notes that it answered a question.
-    pub fn answered(&mut self, now_ms: u64) {
-        self.answered |= self.is_open(now_ms);
+    pub fn record_probe_answer(&mut self, now_ms: u64) {
+        self.answered |= self.needs_probe(now_ms);
     }
 
     /// Notes that it made an event, the first of a generation or a later one. A first failure is over with it; one that has
     /// failed again serves its time.
-    pub fn made_event(&mut self, is_first: bool, now_ms: u64) {
+    pub fn record_event(&mut self, is_first: bool, now_ms: u64) {
         self.event_ms = Some(now_ms);
         if is_first {
             self.began_ms = Some(now_ms);
@@ -85,11 +85,11 @@
     }
 
     /// Whether it is to be asked.
-    pub fn is_open(&self, now_ms: u64) -> bool {
+    pub fn needs_probe(&self, now_ms: u64) -> bool {
         self.is_on(now_ms) && !self.answered && now_ms + ASKED_BEFORE_MS >= self.until_ms
     }
 }
 
 #[cfg(test)]
-#[path = "trial_tests.rs"]
+#[path = "probation_tests.rs"]
 mod tests;
--- a/components/policy/src/health/quarantine.rs
+++ b/components/policy/src/health/quarantine.rs
@@ -26,13 +26,13 @@
 
 /// A request that is withheld.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Withheld {
+pub struct WithheldRequest {
     /// The request.
     pub request: RequestKey,
     /// Targets that ended under it, as far as they are remembered.
-    pub ended: usize,
+    pub crashes: usize,
     /// How long it is withheld still.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -126,7 +126,7 @@
 
 impl Quarantine {
     /// Notes that a target ended under a request, by this box's sight or another's word. Says whether that is news.
-    pub fn ended(&mut self, told: &TargetEnd, now_ms: u64) -> bool {
+    pub fn record_crash(&mut self, told: &TargetEnd, now_ms: u64) -> bool {
         let at_ms = now_ms.saturating_sub(u64::from(told.age_ms));
         if now_ms >= at_ms + KEPT_MS {
             return false;
@@ -147,7 +147,7 @@
     }
 
     /// Notes that a request was answered well. Gives what other boxes are to be told, where they may suspect it.
-    pub fn served(&mut self, request: RequestKey, now_ms: u64) -> Option<Acquittal> {
+    pub fn record_answer(&mut self, request: RequestKey, now_ms: u64) -> Option<Acquittal> {
         self.served.note(request, now_ms);
         self.acquit(request, AcquittedBy::Answer, now_ms)
     }
@@ -166,12 +166,12 @@
             by,
             age_ms: 0,
         };
-        self.acquitted(&acquittal, now_ms);
+        self.apply_acquittal(&acquittal, now_ms);
         Some(acquittal)
     }
 
     /// Takes the word that ends are not put down to a request. Says whether it changed anything.
-    pub fn acquitted(&mut self, told: &Acquittal, now_ms: u64) -> bool {
+    pub fn apply_acquittal(&mut self, told: &Acquittal, now_ms: u64) -> bool {
         let at_ms = now_ms.saturating_sub(u64::from(told.age_ms));
         let to_ms = match told.by {
             // Ends for a while after an answer have another cause too.
@@ -188,30 +188,30 @@
     }
 
     /// Whether a request is not to be sent to any target now.
-    pub fn withholds(&self, request: RequestKey, now_ms: u64) -> bool {
-        self.withheld.contains(&request) && self.left_ms(request, now_ms) > 0
+    pub fn is_withheld(&self, request: RequestKey, now_ms: u64) -> bool {
+        self.withheld.contains(&request) && self.remaining_ms(request, now_ms) > 0
     }
 
-    fn left_ms(&self, request: RequestKey, now_ms: u64) -> u64 {
+    fn remaining_ms(&self, request: RequestKey, now_ms: u64) -> u64 {
         let last_ms = self.suspects.get(&request).map_or(0, Suspect::last_ms);
         (last_ms + WITHHELD_MS).saturating_sub(now_ms)
     }
 
     /// The requests that are withheld, in order.
-    pub fn all_withheld(&self, now_ms: u64) -> Vec<Withheld> {
-        let row = |request: &RequestKey| Withheld {
+    pub fn withheld_requests(&self, now_ms: u64) -> Vec<WithheldRequest> {
+        let row = |request: &RequestKey| WithheldRequest {
             request: *request,
-            ended: self.suspects[request].counted().count(),
-            left_ms: self.left_ms(*request, now_ms),
+            crashes: self.suspects[request].counted().count(),
+            remaining_ms: self.remaining_ms(*request, now_ms),
         };
         let rows = self.withheld.iter().map(row);
-        let mut rows: Vec<Withheld> = rows.filter(|row| row.left_ms > 0).collect();
+        let mut rows: Vec<WithheldRequest> = rows.filter(|row| row.remaining_ms > 0).collect();
         rows.sort_unstable_by_key(|row| row.request);
         rows
     }
 
     /// The ends that count against a request, as other boxes are told them.
-    pub fn ends_of(&self, request: RequestKey, now_ms: u64) -> Vec<TargetEnd> {
+    pub fn crashes_of(&self, request: RequestKey, now_ms: u64) -> Vec<TargetEnd> {
         let Some(suspect) = self.suspects.get(&request) else {
             return Vec::new();
         };
@@ -226,10 +226,10 @@
     }
 
     /// The ends under all requests that are withheld, for a box that has just started.
-    pub fn ends_of_withheld(&self, now_ms: u64) -> Vec<TargetEnd> {
+    pub fn crashes_of_withheld(&self, now_ms: u64) -> Vec<TargetEnd> {
         let requests = self.withheld.iter();
         requests
-            .flat_map(|request| self.ends_of(*request, now_ms))
+            .flat_map(|request| self.crashes_of(*request, now_ms))
             .collect()
     }
 
--- a/components/policy/src/health/quarantine_tests.rs
+++ b/components/policy/src/health/quarantine_tests.rs
@@ -27,7 +27,7 @@
 fn after(ends: &[(u64, u64, u32)]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (at_ms, (digest, target, ran_ms)) in (1_000..).zip(ends) {
-        quarantine.ended(&end(*digest, *target, *ran_ms), at_ms);
+        quarantine.record_crash(&end(*digest, *target, *ran_ms), at_ms);
     }
     quarantine
 }
@@ -35,49 +35,49 @@
 #[test]
 fn withholds_a_request_under_which_three_targets_ended() {
     let two = after(&[(7, 1, 40), (7, 2, 40)]);
-    assert!(!two.withholds(request(7), 2_000));
+    assert!(!two.is_withheld(request(7), 2_000));
     let three = after(&[(7, 1, 40), (7, 2, 40), (7, 3, 40)]);
-    assert!(three.withholds(request(7), 2_000));
-    assert!(!three.withholds(request(8), 2_000));
+    assert!(three.is_withheld(request(7), 2_000));
+    assert!(!three.is_withheld(request(8), 2_000));
 }
 
 #[test]
 fn counts_a_target_once_however_many_saw_it_end() {
     let seen = after(&[(7, 1, 40), (7, 1, 30), (7, 1, 40), (7, 2, 40)]);
-    assert!(!seen.withholds(request(7), 2_000));
+    assert!(!seen.is_withheld(request(7), 2_000));
 }
 
 #[test]
 fn lets_a_request_through_some_time_after_the_last_end_and_withholds_it_at_the_next() {
     let mut held = after(&[(7, 1, 40), (7, 2, 40), (7, 3, 40)]);
     let later_ms = 1_002 + WITHHELD_MS;
-    assert!(held.withholds(request(7), later_ms - 1));
-    assert!(!held.withholds(request(7), later_ms));
-    held.ended(&end(7, 4, 40), later_ms + 1);
-    assert!(held.withholds(request(7), later_ms + 2));
+    assert!(held.is_withheld(request(7), later_ms - 1));
+    assert!(!held.is_withheld(request(7), later_ms));
+    held.record_crash(&end(7, 4, 40), later_ms + 1);
+    assert!(held.is_withheld(request(7), later_ms + 2));
 }
 
 #[test]
 fn puts_ends_down_to_no_request_that_targets_survive() {
     let mut served_before = Quarantine::default();
-    served_before.served(request(7), 500);
+    served_before.record_answer(request(7), 500);
     for target in 1..=3 {
-        served_before.ended(&end(7, target, 40), 1_000);
+        served_before.record_crash(&end(7, target, 40), 1_000);
     }
-    assert!(!served_before.withholds(request(7), 1_001));
+    assert!(!served_before.is_withheld(request(7), 1_001));
     let mut served_after = after(&[(7, 1, 40), (7, 2, 40), (7, 3, 40)]);
-    assert!(served_after.served(request(7), 2_000).is_some());
-    assert!(!served_after.withholds(request(7), 2_001));
+    assert!(served_after.record_answer(request(7), 2_000).is_some());
+    assert!(!served_after.is_withheld(request(7), 2_001));
 }
 
 #[test]
 fn ends_that_came_long_after_the_last_answer_count() {
     let mut mended_badly = Quarantine::default();
-    mended_badly.served(request(7), 0);
+    mended_badly.record_answer(request(7), 0);
     for target in 1..=3 {
-        mended_badly.ended(&end(7, target, 40), SERVED_MS + target);
+        mended_badly.record_crash(&end(7, target, 40), SERVED_MS + target);
     }
-    assert!(mended_badly.withholds(request(7), SERVED_MS + 10));
+    assert!(mended_badly.is_withheld(request(7), SERVED_MS + 10));
 }
 
 #[test]
@@ -88,9 +88,9 @@
         by: AcquittedBy::Answer,
         age_ms: 5,
     };
-    assert!(told.acquitted(&acquittal, 1_100));
-    assert!(!told.acquitted(&acquittal, 1_100));
-    assert!(!told.withholds(request(7), 1_101));
+    assert!(told.apply_acquittal(&acquittal, 1_100));
+    assert!(!told.apply_acquittal(&acquittal, 1_100));
+    assert!(!told.is_withheld(request(7), 1_101));
 }
 
 #[test]
@@ -101,20 +101,20 @@
             age_ms: 60_000,
             ..end(7, target, 40)
         };
-        young.ended(&told, 20);
+        young.record_crash(&told, 20);
     }
-    assert!(young.withholds(request(7), 21));
+    assert!(young.is_withheld(request(7), 21));
 }
 
 #[test]
 fn an_operator_clears_a_request_and_later_ends_count_again() {
     let mut cleared = after(&[(7, 1, 40), (7, 2, 40), (7, 3, 40)]);
     assert!(cleared.clear(request(7), 2_000).is_some());
-    assert!(!cleared.withholds(request(7), 2_001));
+    assert!(!cleared.is_withheld(request(7), 2_001));
     for target in 4..=6 {
-        cleared.ended(&end(7, target, 40), 3_000);
+        cleared.record_crash(&end(7, target, 40), 3_000);
     }
-    assert!(cleared.withholds(request(7), 3_001));
+    assert!(cleared.is_withheld(request(7), 3_001));
     assert!(cleared.clear(request(9), 3_001).is_none());
 }
 
@@ -128,35 +128,35 @@
         (8, 3, 850),
         (7, 3, 40),
     ]);
-    assert!(beside.withholds(request(7), 2_000));
-    assert!(!beside.withholds(request(8), 2_000));
+    assert!(beside.is_withheld(request(7), 2_000));
+    assert!(!beside.is_withheld(request(8), 2_000));
 }
 
 #[test]
 fn whoever_was_withheld_wrongly_is_let_through_when_another_explains_more() {
     let mut mixed = after(&[(8, 1, 20), (7, 1, 40), (8, 2, 20), (7, 2, 40), (8, 3, 20)]);
-    assert!(mixed.withholds(request(8), 2_000));
-    mixed.ended(&end(7, 3, 40), 2_000);
-    mixed.ended(&end(7, 4, 40), 2_001);
-    assert!(mixed.withholds(request(7), 2_002));
-    assert!(!mixed.withholds(request(8), 2_002));
+    assert!(mixed.is_withheld(request(8), 2_000));
+    mixed.record_crash(&end(7, 3, 40), 2_000);
+    mixed.record_crash(&end(7, 4, 40), 2_001);
+    assert!(mixed.is_withheld(request(7), 2_002));
+    assert!(!mixed.is_withheld(request(8), 2_002));
 }
 
 #[test]
 fn remembers_a_bounded_number_of_requests_and_those_with_most_ends_first() {
     let mut many = after(&[(7, 1, 40), (7, 2, 40), (7, 3, 40)]);
     for digest in 100..100 + 3 * REQUESTS_MAX as u64 {
-        many.ended(&end(digest, 9, 40), 2_000 + digest);
+        many.record_crash(&end(digest, 9, 40), 2_000 + digest);
     }
     assert_eq!(many.suspects.len(), REQUESTS_MAX);
-    assert!(many.withholds(request(7), 10_000));
+    assert!(many.is_withheld(request(7), 10_000));
 }
 
 #[test]
 fn remembers_a_bounded_number_of_answers() {
     let mut many = Quarantine::default();
     for digest in 0..5 * SERVED_MAX as u64 {
-        many.served(request(digest), digest / 100);
+        many.record_answer(request(digest), digest / 100);
     }
     assert!(many.served.at_ms.len() <= SERVED_MAX + 1);
     assert!(many.served.in_order.len() <= SERVED_MAX + 1);
@@ -170,7 +170,7 @@
     ) {
         let told = |quarantine: &mut Quarantine, ends: &[(u64, u64, u32)]| {
             for (digest, target, ran_ms) in ends {
-                quarantine.ended(&end(*digest, *target, *ran_ms), 1_000);
+                quarantine.record_crash(&end(*digest, *target, *ran_ms), 1_000);
             }
         };
         let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
@@ -179,7 +179,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(order);
         shuffled.shuffle(&mut random);
         told(&mut other, &shuffled);
-        prop_assert_eq!(one.all_withheld(2_000), other.all_withheld(2_000));
+        prop_assert_eq!(one.withheld_requests(2_000), other.withheld_requests(2_000));
     }
 }
 
@@ -235,7 +235,7 @@
         for (digest, begun_ms) in &ran {
             let ran_ms = (self.now_ms - begun_ms) as u32;
             self.quarantine
-                .ended(&end(*digest, self.lives, ran_ms), self.now_ms);
+                .record_crash(&end(*digest, self.lives, ran_ms), self.now_ms);
         }
         let others: Vec<usize> = (0..self.engines.len())
             .filter(|other| *other != at)
@@ -259,7 +259,7 @@
     }
 
     fn innocents_withheld(&self) -> usize {
-        let withheld = self.quarantine.all_withheld(self.now_ms);
+        let withheld = self.quarantine.withheld_requests(self.now_ms);
         withheld
             .iter()
             .filter(|row| row.request != request(FATAL))
@@ -279,7 +279,7 @@
     for seed in 0..ROWS {
         let mut crowd = Crowd::new(seed, engines);
         let mut ends = 0;
-        while !crowd.quarantine.withholds(request(FATAL), crowd.now_ms) {
+        while !crowd.quarantine.is_withheld(request(FATAL), crowd.now_ms) {
             crowd.play_end();
             ends += 1;
             assert!(ends <= ENDS_MIN, "seed {seed}: {ends} engines ended");
--- a/components/policy/src/health/backoff.rs
+++ b/components/policy/src/health/retry_after.rs
@@ -12,16 +12,16 @@
 
 /// The pause that one target asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Backoff {
+pub struct RetryAfterBackoff {
     until_ms: u64,
     /// No request sent after the pause was answered yet.
     is_half_open: bool,
     next_try_ms: u64,
 }
 
-impl Backoff {
+impl RetryAfterBackoff {
     /// Notes that the target asked for a pause. A shorter one than is left changes nothing. `draw` is even between 0 and 1.
-    pub fn asked(&mut self, pause_ms: u64, draw: f64, now_ms: u64) {
+    pub fn record_pause(&mut self, pause_ms: u64, draw: f64, now_ms: u64) {
         if pause_ms == 0 {
             return;
         }
@@ -34,7 +34,7 @@
     }
 
     /// How long until a request may be sent; none where one may be now.
-    pub fn left_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn remaining_ms(&self, now_ms: u64) -> Option<u64> {
         let next_try_ms = match self.is_half_open {
             true => self.next_try_ms,
             false => 0,
@@ -49,14 +49,14 @@
     }
 
     /// Notes that a request is sent.
-    pub fn sent(&mut self, now_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64) {
         if self.is_half_open {
             self.next_try_ms = now_ms + TRY_EACH_MS;
         }
     }
 
     /// Notes that a request sent at a time was taken.
-    pub fn answered(&mut self, sent_ms: u64) {
+    pub fn record_accepted(&mut self, sent_ms: u64) {
         if sent_ms >= self.until_ms {
             self.is_half_open = false;
         }
@@ -64,5 +64,5 @@
 }
 
 #[cfg(test)]
-#[path = "backoff_tests.rs"]
+#[path = "retry_after_tests.rs"]
 mod tests;
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -43,7 +43,7 @@
             data_centre: target.data_centre,
             cold_rate_per_s: self.service.cold_rate_per_s.filter(|_| is_cold),
         };
-        let doubted = target.suspicion.is_passed_over(now_ms)
+        let doubted = target.suspicion.is_ejected(now_ms)
             || (self.trials_count && target.trial.is_on(now_ms));
         let state = match targets.takes_work(target) && !doubted {
             true => EngineState::Live,
@@ -185,7 +185,7 @@
         let mut targets = self.targets.borrow_mut();
         let slot = target.and_then(|target| targets.slot_of(target));
         if let Some(target) = slot.and_then(|slot| targets.get_mut(slot)) {
-            target.trial.made_event(is_first, now_ms);
+            target.trial.record_event(is_first, now_ms);
         }
     }
 }
--- a/components/relay/src/dispatch/reports.rs
+++ b/components/relay/src/dispatch/reports.rs
@@ -143,7 +143,7 @@
     if report.is_some()
         && let Some(target) = relay.targets.borrow_mut().get_mut(slot)
     {
-        target.trial.answered(now_ms);
+        target.trial.record_probe_answer(now_ms);
     }
     if let Some(report) = report.filter(|report| report.is_leaving) {
         slog::info!(relay.log, "engine says that it leaves"; "engine" => relay.name_of(slot),
--- a/components/relay/src/forwarding/admission.rs
+++ b/components/relay/src/forwarding/admission.rs
@@ -94,6 +94,9 @@
             return None;
         }
         let targets = self.targets.borrow();
-        targets.get(admission.slot)?.backoff.left_ms(self.now_ms())
+        targets
+            .get(admission.slot)?
+            .backoff
+            .remaining_ms(self.now_ms())
     }
 }
--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -47,7 +47,7 @@
             _ if facts.is_not_run => {}
             _ => {
                 if let Some(target) = self.targets.borrow_mut().get_mut(slot) {
-                    target.backoff.answered(sent_ms);
+                    target.backoff.record_accepted(sent_ms);
                 }
             }
         }
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -186,7 +186,7 @@
         let of_service = book.of_service(asked.service);
         let mut taking = of_service.filter(|(_, target)| book.takes_work(target));
         let is_beyond = |target: &Target| {
-            let left_ms = target.backoff.left_ms(now_ms);
+            let left_ms = target.backoff.remaining_ms(now_ms);
             left_ms.is_some_and(|left_ms| now_ms + left_ms > until_ms)
         };
         taking.all(|(_, target)| is_beyond(target))
@@ -205,7 +205,7 @@
         let now_ms = self.now_ms();
         let takes_it = book.takes_work(target) && asked.cold.allows(target, now_ms);
         let is_full = target.is_full(now_ms) || !balance.has_room(slot, target.open);
-        let has_failed = target.suspicion.is_passed_over(now_ms);
+        let has_failed = target.suspicion.is_ejected(now_ms);
         takes_it.then_some((tried.contains(&slot), has_failed, is_full))
     }
 
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -308,7 +308,7 @@
         }
         let mut ready = targets.of_service(service);
         let takes = |target: &Target| {
-            targets.takes_work(target) && target.backoff.left_ms(now_ms).is_none()
+            targets.takes_work(target) && target.backoff.remaining_ms(now_ms).is_none()
         };
         if ready.any(|(_, target)| takes(target)) {
             return None;
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -62,13 +62,13 @@
         }
         let passed_over = |targets: &TargetBook| {
             let target = targets.get(slot);
-            target.is_some_and(|target| target.suspicion.is_passed_over(now_ms))
+            target.is_some_and(|target| target.suspicion.is_ejected(now_ms))
         };
         let before = passed_over(&targets);
         match word {
             TargetOutcome::Well => {
                 if let Some(target) = targets.get_mut(slot) {
-                    target.suspicion.succeeded();
+                    target.suspicion.record_success();
                 }
             }
             TargetOutcome::Failed if self.file().has(Mechanism::Suspicion) => {
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -185,7 +185,7 @@
         }
         let sent_ms = self.now_ms();
         if let Some(target) = self.targets.borrow_mut().get_mut(slot) {
-            target.backoff.sent(sent_ms);
+            target.backoff.record_sent(sent_ms);
         }
         let whole = match write(&mut channel, message).await {
             Written::Whole => true,
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -127,7 +127,11 @@
             false => RECORDED_MIN,
         };
         for end in news {
-            let known = self.quarantine.borrow().ends_of(end.request, now_ms).len();
+            let known = self
+                .quarantine
+                .borrow()
+                .crashes_of(end.request, now_ms)
+                .len();
             if known >= recorded_min {
                 tokio::task::spawn_local(write_record(self.clone(), end.request));
             }
@@ -136,7 +140,7 @@
 
     /// Has the store keep again what it lost: all that is withheld.
     pub(crate) fn keep_records_again(self: &Rc<Self>) {
-        let withheld = self.quarantine.borrow().all_withheld(self.now_ms());
+        let withheld = self.quarantine.borrow().withheld_requests(self.now_ms());
         for row in withheld {
             tokio::task::spawn_local(write_record(self.clone(), row.request));
         }
@@ -184,7 +188,10 @@
     let recorded = read.map_or(Record::default(), |(_, record)| record);
     let news = relay.take_ends(&recorded.ends(request), "store");
     relay.tell_ends(&news);
-    let known = relay.quarantine.borrow().ends_of(request, relay.now_ms());
+    let known = relay
+        .quarantine
+        .borrow()
+        .crashes_of(request, relay.now_ms());
     if known.iter().all(|end| recorded.has(end.target)) {
         return Ok(true);
     }
--- a/components/relay/src/quarantine/spread.rs
+++ b/components/relay/src/quarantine/spread.rs
@@ -57,11 +57,11 @@
         let now_ms = self.now_ms();
         let quarantine = self.quarantine.borrow();
         let ends = match told.asks_all {
-            true => quarantine.ends_of_withheld(now_ms),
+            true => quarantine.crashes_of_withheld(now_ms),
             false => {
                 let requests: BTreeSet<RequestKey> =
                     told.ends.iter().map(|end| end.request).collect();
-                let of = |request: RequestKey| quarantine.ends_of(request, now_ms);
+                let of = |request: RequestKey| quarantine.crashes_of(request, now_ms);
                 requests.into_iter().flat_map(of).collect()
             }
         };
@@ -75,7 +75,10 @@
         self.take_ends(&told.ends, "peer");
         let now_ms = self.now_ms();
         for acquittal in &told.acquittals {
-            let is_news = self.quarantine.borrow_mut().acquitted(acquittal, now_ms);
+            let is_news = self
+                .quarantine
+                .borrow_mut()
+                .apply_acquittal(acquittal, now_ms);
             if is_news {
                 slog::info!(self.log, "request acquitted"; "request" => %acquittal.request,
                     "by" => ?acquittal.by, "source" => "peer");
--- a/components/relay/src/quarantine/withhold.rs
+++ b/components/relay/src/quarantine/withhold.rs
@@ -16,7 +16,7 @@
         let withholds = self
             .quarantine
             .borrow()
-            .withholds(incoming.key, self.now_ms());
+            .is_withheld(incoming.key, self.now_ms());
         if !is_on || !withholds {
             return None;
         }
@@ -29,8 +29,8 @@
     /// Notes that a request was answered well: targets survive it.
     pub(crate) fn served(self: &Rc<Self>, request: RequestKey) {
         let now_ms = self.now_ms();
-        let ends = self.quarantine.borrow().ends_of(request, now_ms).len();
-        let acquittal = self.quarantine.borrow_mut().served(request, now_ms);
+        let ends = self.quarantine.borrow().crashes_of(request, now_ms).len();
+        let acquittal = self.quarantine.borrow_mut().record_answer(request, now_ms);
         // One end alone withholds nothing anywhere: most are of requests that stood beside, and telling each would cost more.
         if let Some(acquittal) = acquittal.filter(|_| ends >= RECORDED_MIN) {
             slog::info!(self.log, "request acquitted by an answer"; "request" => %request,
@@ -67,29 +67,29 @@
         let now_ms = self.now_ms();
         let mut news = Vec::new();
         for end in ends {
-            let before = self.quarantine.borrow().withholds(end.request, now_ms);
-            if self.quarantine.borrow_mut().ended(end, now_ms) {
+            let before = self.quarantine.borrow().is_withheld(end.request, now_ms);
+            if self.quarantine.borrow_mut().record_crash(end, now_ms) {
                 news.push(*end);
             }
             let quarantine = self.quarantine.borrow();
-            if !before && quarantine.withholds(end.request, now_ms) {
+            if !before && quarantine.is_withheld(end.request, now_ms) {
                 slog::warn!(self.log, "request to be withheld"; "request" => %end.request,
-                    "source" => source, "targets_ended" => quarantine.ends_of(end.request, now_ms).len());
+                    "source" => source, "targets_ended" => quarantine.crashes_of(end.request, now_ms).len());
             }
         }
-        let withheld = self.quarantine.borrow().all_withheld(now_ms).len();
+        let withheld = self.quarantine.borrow().withheld_requests(now_ms).len();
         metrics::gauge!("shuntpier_withheld_requests").set(withheld as f64);
         news
     }
 
     /// The requests that are withheld, for operators.
     pub(crate) fn withheld_views(&self) -> Vec<WithheldView> {
-        let rows = self.quarantine.borrow().all_withheld(self.now_ms());
-        let view = |row: policy::Withheld| WithheldView {
+        let rows = self.quarantine.borrow().withheld_requests(self.now_ms());
+        let view = |row: policy::WithheldRequest| WithheldView {
             request: row.request.to_string(),
             account: self.account_named(row.request.account),
-            targets_ended: row.ended,
-            left_s: row.left_ms as f64 / 1000.0,
+            targets_ended: row.crashes,
+            left_s: row.remaining_ms as f64 / 1000.0,
         };
         rows.into_iter().map(view).collect()
     }
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -81,7 +81,7 @@
             cold: now_ms < target.cold_until_ms,
             own_open: target.open,
             own_open_bytes: target.open_bytes,
-            pause_left_ms: target.backoff.left_ms(now_ms),
+            pause_left_ms: target.backoff.remaining_ms(now_ms),
             rate_limit_per_s: target.rate_limit.announced.rate_per_s(now_ms),
             calls: self.calls_view(&balance, slot, target),
             pace: self.pace_view(target, now_ms),
@@ -105,7 +105,7 @@
             limit: record.limit.most(),
             spared: record.shared.is_spared(now_ms),
             doubted: record.shared.is_doubted(now_ms),
-            passed_over: target.suspicion.is_passed_over(now_ms),
+            passed_over: target.suspicion.is_ejected(now_ms),
             failed_by_route: self.failed_by_route(record),
         })
     }
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -104,7 +104,11 @@
         };
         let until_ms = self.now_ms() + settle_ms;
         self.targets.borrow_mut().era_rose(until_ms);
-        let withheld = self.quarantine.borrow().all_withheld(self.now_ms()).len();
+        let withheld = self
+            .quarantine
+            .borrow()
+            .withheld_requests(self.now_ms())
+            .len();
         slog::warn!(self.log, "store era rose"; "before" => before, "era" => era,
             "source" => ?source, "settles_in_ms" => settle_ms,
             "kept_declarations" => self.declared().map(|held| held.table.version),
--- a/components/relay/src/watch/life.rs
+++ b/components/relay/src/watch/life.rs
@@ -2,7 +2,7 @@
 
 use crate::rate_limit::state::TargetRateLimit;
 use crate::watch::targets::{Belief, Target};
-use policy::{Backoff, Suspicion, Trial, Warmup};
+use policy::{OutlierEjection, Probation, RetryAfterBackoff, Warmup};
 use prelude::DataCentreId;
 use routing::{TargetEntry, TargetPhase};
 
@@ -28,10 +28,10 @@
             open: 0,
             open_bytes: 0,
             load: None,
-            backoff: Backoff::default(),
+            backoff: RetryAfterBackoff::default(),
             rate_limit: TargetRateLimit::default(),
-            suspicion: Suspicion::default(),
-            trial: Trial::default(),
+            suspicion: OutlierEjection::default(),
+            trial: Probation::default(),
             full_until_ms: 0,
             leaves_by_word: leaves && !says_so,
             says_it_leaves: false,
--- a/components/relay/src/watch/listing_order_tests.rs
+++ b/components/relay/src/watch/listing_order_tests.rs
@@ -219,7 +219,7 @@
             }
             Word::Failed(at) => {
                 let slot = self.open[pick(at, self.open.len())];
-                self.book.get_mut(slot).unwrap().suspicion.failed(0);
+                self.book.get_mut(slot).unwrap().suspicion.record_failure(0);
             }
         }
     }
--- a/components/relay/src/watch/listing_tests.rs
+++ b/components/relay/src/watch/listing_tests.rs
@@ -38,13 +38,16 @@
     book.opened(former);
     book.leaves(former);
     for at_ms in 0..9 {
-        book.get_mut(former).unwrap().suspicion.failed(at_ms);
+        book.get_mut(former)
+            .unwrap()
+            .suspicion
+            .record_failure(at_ms);
     }
     let change = book.listed(entry(NAME, 2, false, 2), 10).unwrap();
     let (slot, target) = book.newest(NAME).unwrap();
     assert_eq!(change, Change::Restarted { former, slot });
     assert_eq!((target.belief, target.open), (Belief::Ready, 0));
-    assert!(!target.suspicion.is_passed_over(10));
+    assert!(!target.suspicion.is_ejected(10));
     assert_ne!(target.id, book.get(former).unwrap().id);
     // The former life is kept until its request ends.
     assert_eq!(book.get(former).unwrap().belief, Belief::Gone);
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -2,7 +2,7 @@
 
 use crate::rate_limit::state::TargetRateLimit;
 use platform::WorkerLoad;
-use policy::{Backoff, Suspicion, Trial, Warmup};
+use policy::{OutlierEjection, Probation, RetryAfterBackoff, Warmup};
 use prelude::{DataCentreId, TargetId, Version};
 use routing::TargetEntry;
 
@@ -51,13 +51,13 @@
     /// What it last said of its load, and when.
     pub load: Option<(WorkerLoad, u64)>,
     /// The pause that it asked this box for.
-    pub backoff: Backoff,
+    pub backoff: RetryAfterBackoff,
     /// The rate limit that it announces.
     pub rate_limit: TargetRateLimit,
     /// Its latest failures.
-    pub suspicion: Suspicion,
+    pub suspicion: OutlierEjection,
     /// Whether it may be given work after it failed some, on the box that dispatches to it.
-    pub trial: Trial,
+    pub trial: Probation,
     /// Until when it counts as full, by its own word.
     pub full_until_ms: u64,
     /// That it leaves is known from itself or from a box that it told; the store has not said so.
@@ -113,7 +113,7 @@
     /// Whether it takes no more right now: it is full by its own word, asked for a pause, or has no tokens left.
     pub(crate) fn is_full(&self, now_ms: u64) -> bool {
         now_ms < self.full_until_ms
-            || self.backoff.left_ms(now_ms).is_some()
+            || self.backoff.remaining_ms(now_ms).is_some()
             || self.is_out_of_tokens(now_ms)
     }
 
--- a/components/relay/src/watch/targets.rs
+++ b/components/relay/src/watch/targets.rs
@@ -138,7 +138,7 @@
         let is_on = |slot: &TargetSlot| targets.get(*slot).is_some_and(|t| t.trial.is_on(now_ms));
         self.index.on_trial.retain(is_on);
         let open = |(_, target): &(TargetSlot, &Target)| {
-            self.takes_work(target) && target.trial.is_open(now_ms)
+            self.takes_work(target) && target.trial.needs_probe(now_ms)
         };
         let tried = self.those(self.index.on_trial.iter().copied());
         tried.filter(open).map(|(slot, _)| slot).collect()
@@ -149,8 +149,10 @@
         let Some(target) = self.targets.get_mut(slot) else {
             return false;
         };
-        let is_new = target.backoff.left_ms(now_ms).is_none();
-        target.backoff.asked(pause_ms, rand::random(), now_ms);
+        let is_new = target.backoff.remaining_ms(now_ms).is_none();
+        target
+            .backoff
+            .record_pause(pause_ms, rand::random(), now_ms);
         self.index.backing_off.insert(slot);
         is_new
     }
@@ -163,7 +165,7 @@
         let backing_off = self.those(self.index.backing_off.iter().copied());
         let of_service = backing_off.filter(|(_, target)| &*target.entry.service == service);
         of_service
-            .filter_map(|(_, target)| Some((target.id, target.backoff.left_ms(now_ms)?)))
+            .filter_map(|(_, target)| Some((target.id, target.backoff.remaining_ms(now_ms)?)))
             .collect()
     }
 
@@ -193,7 +195,7 @@
     /// Notes that a target failed this box.
     pub fn failed(&mut self, slot: TargetSlot, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
-            target.suspicion.failed(now_ms);
+            target.suspicion.record_failure(now_ms);
             self.index.passing.insert(slot);
         }
     }
@@ -206,7 +208,7 @@
         let holds = |target: &Target| {
             now_ms < target.cold_until_ms
                 || target.trial.is_on(now_ms)
-                || target.suspicion.is_passed_over(now_ms)
+                || target.suspicion.is_ejected(now_ms)
                 || target.rate_limit.announced.rate_per_s(now_ms).is_some()
         };
         let is_passing = |slot: &TargetSlot| targets.get(*slot).is_some_and(holds);
@@ -270,10 +272,10 @@
         self.index.passing.insert(slot);
         match fault {
             EngineFault::Broke => {
-                target.trial.failed(now_ms);
+                target.trial.record_failure(now_ms);
                 true
             }
-            EngineFault::Silent => target.trial.silent(now_ms),
+            EngineFault::Silent => target.trial.record_silence(now_ms),
         }
     }
 
@@ -370,7 +372,7 @@
         let rank = |(slot, target): (TargetSlot, &Target)| {
             let far = f64::from(u8::from(target.data_centre != near)) * FAR_SHARE;
             let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
-            let passed_over = target.suspicion.is_passed_over(now_ms);
+            let passed_over = target.suspicion.is_ejected(now_ms);
             let full = target.is_full(now_ms);
             let doubt = target.suspicion.failed_share();
             let order = (
--- a/components/relay/tests/targets.rs
+++ b/components/relay/tests/targets.rs
@@ -136,7 +136,10 @@
     let second = book.choose("records", near(), &[], WARM, 0).unwrap();
     assert_ne!(first, second);
     for at_ms in 0..3 {
-        book.get_mut(second).unwrap().suspicion.failed(at_ms);
+        book.get_mut(second)
+            .unwrap()
+            .suspicion
+            .record_failure(at_ms);
     }
     assert_eq!(book.choose("records", near(), &[], WARM, 10), Some(first));
     assert_eq!(
