--- a/components/policy/src/admission/rate.rs
+++ b/components/policy/src/admission/rate.rs
@@ -26,13 +26,13 @@
         let ledgers = limited.filter_map(|target| self.engines.get(*target));
         let live = ledgers.filter(|ledger| ledger.state == EngineState::Live);
         let tokens: Vec<_> = live
-            .filter_map(|ledger| ledger.rate.tokens(now_ms))
+            .filter_map(|ledger| ledger.rate.current(now_ms))
             .collect();
         if tokens.is_empty() || tokens.len() < self.engines.live_count() {
             return None;
         }
         let rate_per_s: f64 = tokens.iter().map(|(rate_per_s, _)| rate_per_s).sum();
-        let saved: f64 = tokens.iter().map(|(_, bucket)| bucket.saved()).sum();
+        let saved: f64 = tokens.iter().map(|(_, bucket)| bucket.tokens()).sum();
         let lacking = (self.queue.len_up_to(rank) + 1) as f64 - saved;
         Some((lacking.max(0.0) / (rate_per_s * USED_SHARE) * 1_000.0) as u64)
     }
--- a/components/policy/src/balance/hints.rs
+++ b/components/policy/src/balance/hints.rs
@@ -23,7 +23,7 @@
     pub fn take(&mut self, boxes: usize, now_ms: u64) -> bool {
         let own_rate = WORDS_PER_S / boxes.max(1) as f64;
         self.0.refill(own_rate, SAVED_MAX, now_ms);
-        self.0.take()
+        self.0.try_take()
     }
 }
 
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -90,7 +90,7 @@
             None => self.rate_limited.remove(&target),
         };
         if let Some(ledger) = self.engine_mut(target) {
-            ledger.rate.set(rate_per_s, now_ms);
+            ledger.rate.set_rate(rate_per_s, now_ms);
         }
     }
 
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -8,7 +8,7 @@
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::length::{LengthClass, LengthModel};
 use crate::placement::reading::Reading;
-use crate::rate::engine::EngineRate;
+use crate::rate::engine::EngineRateLimit;
 use prelude::{BoxId, DataCentreId, PermitId, TargetId, TargetIncarnation};
 use slotmap::{SlotMap, new_key_type};
 use std::collections::VecDeque;
@@ -198,7 +198,7 @@
     /// When requests were placed here, in the last second.
     placed_ms: VecDeque<u64>,
     /// The rate limit that the engine announces.
-    pub(crate) rate: EngineRate,
+    pub(crate) rate: EngineRateLimit,
 }
 
 impl EngineLedger {
@@ -218,13 +218,13 @@
             forecast_ms: None,
             own_past: VecDeque::new(),
             placed_ms: VecDeque::new(),
-            rate: EngineRate::default(),
+            rate: EngineRateLimit::default(),
         }
     }
 
     /// Notes that a request is placed here.
     pub fn placed(&mut self, now_ms: u64) {
-        self.rate.placed(now_ms);
+        self.rate.record_placement(now_ms);
         self.placed_ms.push_back(now_ms);
         while self
             .placed_ms
--- a/components/policy/src/rate/announced.rs
+++ b/components/policy/src/rate/announced.rs
@@ -14,24 +14,24 @@
 
 /// What one answer says of the limit of its target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RateWord {
+pub struct RateObservation {
     /// Requests a second from all boxes together; none where the answer names no limit.
     pub limit_per_s: Option<f64>,
     /// When the answer was made, at the earliest.
-    pub made_from_ms: u64,
+    pub earliest_ms: u64,
     /// When it was made, at the latest.
-    pub made_until_ms: u64,
+    pub latest_ms: u64,
 }
 
-impl RateWord {
+impl RateObservation {
     fn limit(&self) -> f64 {
         self.limit_per_s.unwrap_or(f64::INFINITY)
     }
 
     /// Takes another word in that may have been made later, and counts as saying the same.
     fn extend(&mut self, other: &Self) {
-        self.made_from_ms = self.made_from_ms.max(other.made_from_ms);
-        self.made_until_ms = self.made_until_ms.max(other.made_until_ms);
+        self.earliest_ms = self.earliest_ms.max(other.earliest_ms);
+        self.latest_ms = self.latest_ms.max(other.latest_ms);
     }
 }
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnnouncedRate {
     /// Words of which each may be the last that was made, with different limits.
-    latest: Vec<RateWord>,
+    latest: Vec<RateObservation>,
     /// The last word was made at this time, at the earliest.
     not_before_ms: u64,
     ended: Option<Ended>,
@@ -55,15 +55,14 @@
 impl AnnouncedRate {
     /// Takes a word in. Where it cannot be told which of two was made last, the lower limit counts. Says whether the
     /// limit changed.
-    pub fn observe(&mut self, word: RateWord, now_ms: u64) -> bool {
-        if word.made_until_ms < self.not_before_ms {
+    pub fn observe(&mut self, word: RateObservation, now_ms: u64) -> bool {
+        if word.latest_ms < self.not_before_ms {
             return false;
         }
         let before = self.limit_per_s();
-        self.not_before_ms = self.not_before_ms.max(word.made_from_ms);
+        self.not_before_ms = self.not_before_ms.max(word.earliest_ms);
         let not_before_ms = self.not_before_ms;
-        self.latest
-            .retain(|known| known.made_until_ms >= not_before_ms);
+        self.latest.retain(|known| known.latest_ms >= not_before_ms);
         self.insert(word);
         let after = self.limit_per_s();
         if let (Some(limit_per_s), None) = (before, after) {
@@ -75,8 +74,8 @@
         before != after
     }
 
-    fn insert(&mut self, word: RateWord) {
-        let like = |known: &&mut RateWord| known.limit_per_s == word.limit_per_s;
+    fn insert(&mut self, word: RateObservation) {
+        let like = |known: &&mut RateObservation| known.limit_per_s == word.limit_per_s;
         if let Some(known) = self.latest.iter_mut().find(like) {
             known.extend(&word);
             return;
@@ -92,13 +91,13 @@
     }
 
     /// The word that counts; none before any answer.
-    pub fn word(&self) -> Option<RateWord> {
-        let lowest = |a: &&RateWord, b: &&RateWord| a.limit().total_cmp(&b.limit());
+    pub fn effective(&self) -> Option<RateObservation> {
+        let lowest = |a: &&RateObservation, b: &&RateObservation| a.limit().total_cmp(&b.limit());
         self.latest.iter().min_by(lowest).copied()
     }
 
     fn limit_per_s(&self) -> Option<f64> {
-        self.word()?.limit_per_s
+        self.effective()?.limit_per_s
     }
 
     /// Whether a limit is named.
--- a/components/policy/src/rate/announced_tests.rs
+++ b/components/policy/src/rate/announced_tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(limit_per_s: Option<f64>, made_from_ms: u64, made_until_ms: u64) -> RateWord {
-    RateWord {
+fn word(limit_per_s: Option<f64>, earliest_ms: u64, latest_ms: u64) -> RateObservation {
+    RateObservation {
         limit_per_s,
-        made_from_ms,
-        made_until_ms,
+        earliest_ms,
+        latest_ms,
     }
 }
 
-fn known(words: &[RateWord]) -> AnnouncedRate {
+fn known(words: &[RateObservation]) -> AnnouncedRate {
     let mut rate = AnnouncedRate::default();
     for word in words {
-        rate.observe(*word, word.made_until_ms);
+        rate.observe(*word, word.latest_ms);
     }
     rate
 }
@@ -94,8 +94,8 @@
         for (_, word) in &heard {
             rate.observe(*word, 10_000);
         }
-        let found = rate.word().and_then(|word| word.limit_per_s);
-        let overlaps = |word: &RateWord| last.made_from_ms <= word.made_until_ms;
+        let found = rate.effective().and_then(|word| word.limit_per_s);
+        let overlaps = |word: &RateObservation| last.earliest_ms <= word.latest_ms;
         let lowest = words.iter().map(|(_, word)| *word).filter(overlaps);
         let lowest = lowest.map(|word| word.limit()).fold(f64::INFINITY, f64::min);
         let found = found.unwrap_or(f64::INFINITY);
--- a/components/policy/src/rate/queue.rs
+++ b/components/policy/src/rate/queue.rs
@@ -15,7 +15,7 @@
 
 /// A call that asks for a token.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RateAsk {
+pub struct RateGrantRequest {
     /// Unique among those that wait.
     pub id: u64,
     /// Whose call it is.
@@ -25,7 +25,7 @@
     /// 0 for the most urgent.
     pub rank: u8,
     /// Until when it waits.
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// Its caller is sent away where it is denied.
     pub is_last_try: bool,
 }
@@ -47,7 +47,7 @@
 pub struct RateQueue {
     bucket: TokenBucket,
     /// Those that wait, in the order in which they came.
-    waiting: Vec<RateAsk>,
+    waiting: Vec<RateGrantRequest>,
     /// The start tag of the last call that was granted.
     virtual_time: f64,
     /// The start tag of the next call of an account.
@@ -71,15 +71,20 @@
     }
 
     /// Takes a call in. None where it waits.
-    pub fn ask(&mut self, ask: RateAsk, rate_per_s: f64, now_ms: u64) -> Option<RateVerdict> {
+    pub fn submit(
+        &mut self,
+        ask: RateGrantRequest,
+        rate_per_s: f64,
+        now_ms: u64,
+    ) -> Option<RateVerdict> {
         refill(&mut self.bucket, rate_per_s, now_ms);
-        if self.waiting.is_empty() && self.bucket.take() {
+        if self.waiting.is_empty() && self.bucket.try_take() {
             self.granted(&ask);
             return Some(RateVerdict::Granted);
         }
         let tokens = self.before(&ask) + 1;
         let wait_ms = self.wait_ms(tokens, rate_per_s);
-        let is_in_time = now_ms + wait_ms <= ask.until_ms;
+        let is_in_time = now_ms + wait_ms <= ask.deadline_ms;
         if !is_in_time || self.waiting.len() >= WAITING_MAX {
             return Some(self.denied(&ask, rate_per_s, wait_ms, now_ms));
         }
@@ -91,13 +96,13 @@
     pub fn run(&mut self, rate_per_s: f64, now_ms: u64) -> Vec<(u64, RateVerdict)> {
         refill(&mut self.bucket, rate_per_s, now_ms);
         let mut verdicts = Vec::new();
-        while !self.waiting.is_empty() && self.bucket.take() {
+        while !self.waiting.is_empty() && self.bucket.try_take() {
             let next = self.waiting.remove(self.next_at());
             self.granted(&next);
             verdicts.push((next.id, RateVerdict::Granted));
         }
-        let is_over = |ask: &mut RateAsk| ask.until_ms <= now_ms;
-        let over: Vec<RateAsk> = self.waiting.extract_if(.., is_over).collect();
+        let is_over = |ask: &mut RateGrantRequest| ask.deadline_ms <= now_ms;
+        let over: Vec<RateGrantRequest> = self.waiting.extract_if(.., is_over).collect();
         for ask in over {
             let wait_ms = self.wait_ms(1, rate_per_s);
             verdicts.push((ask.id, self.denied(&ask, rate_per_s, wait_ms, now_ms)));
@@ -106,15 +111,15 @@
     }
 
     /// How long until [`RateQueue::run`] has something to do; none where nobody waits.
-    pub fn next_ms(&self, rate_per_s: f64, now_ms: u64) -> Option<u64> {
-        let ends = self.waiting.iter().map(|ask| ask.until_ms);
+    pub fn next_run_in_ms(&self, rate_per_s: f64, now_ms: u64) -> Option<u64> {
+        let ends = self.waiting.iter().map(|ask| ask.deadline_ms);
         let first_end_ms = ends.min()?.saturating_sub(now_ms);
         Some(self.wait_ms(1, rate_per_s).min(first_end_ms))
     }
 
     /// Takes a grant back of a call that is not sent: its token goes to another.
-    pub fn not_sent(&mut self) {
-        self.bucket.put_back();
+    pub fn refund(&mut self) {
+        self.bucket.refund();
     }
 
     fn wait_ms(&self, tokens: usize, rate_per_s: f64) -> u64 {
@@ -126,7 +131,7 @@
         next.unwrap_or_default().max(self.virtual_time)
     }
 
-    fn granted(&mut self, ask: &RateAsk) {
+    fn granted(&mut self, ask: &RateGrantRequest) {
         let tag = self.next_tag(ask.account);
         self.grants += 1;
         self.virtual_time = tag;
@@ -137,7 +142,7 @@
     /// The start tags of those that wait, in the order in which they came.
     fn tags(&self) -> Vec<f64> {
         let mut next_tags: HashMap<AccountId, f64> = HashMap::new();
-        let tag = |ask: &RateAsk| {
+        let tag = |ask: &RateGrantRequest| {
             let next = next_tags.entry(ask.account);
             let next = next.or_insert_with(|| self.next_tag(ask.account));
             std::mem::replace(next, *next + 1.0 / ask.weight)
@@ -146,7 +151,7 @@
     }
 
     /// How many of those that wait go before a call that comes now.
-    fn before(&self, ask: &RateAsk) -> usize {
+    fn before(&self, ask: &RateGrantRequest) -> usize {
         let own = self
             .waiting
             .iter()
@@ -154,7 +159,7 @@
         let tag = self.next_tag(ask.account) + own.count() as f64 / ask.weight;
         let waiting = self.waiting.iter().zip(self.tags());
         let goes_before =
-            |(other, other_tag): &(&RateAsk, f64)| (other.rank, *other_tag) <= (ask.rank, tag);
+            |(other, start): &(&RateGrantRequest, f64)| (other.rank, *start) <= (ask.rank, tag);
         waiting.filter(goes_before).count()
     }
 
@@ -172,7 +177,13 @@
     }
 
     /// Callers that are sent away are told times one after another, at which tokens will be there.
-    fn denied(&mut self, ask: &RateAsk, rate_per_s: f64, wait_ms: u64, now_ms: u64) -> RateVerdict {
+    fn denied(
+        &mut self,
+        ask: &RateGrantRequest,
+        rate_per_s: f64,
+        wait_ms: u64,
+        now_ms: u64,
+    ) -> RateVerdict {
         let mut retry_after_ms = wait_ms;
         if ask.is_last_try {
             let latest_ms = now_ms + COME_BACK_MAX_MS;
--- a/components/policy/src/rate/queue_tests.rs
+++ b/components/policy/src/rate/queue_tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 use std::collections::BTreeMap;
 
-fn ask(id: u64, account: u64, rank: u8, until_ms: u64) -> RateAsk {
-    RateAsk {
+fn ask(id: u64, account: u64, rank: u8, deadline_ms: u64) -> RateGrantRequest {
+    RateGrantRequest {
         id,
         account: AccountId(account),
         weight: 1.0,
         rank,
-        until_ms,
+        deadline_ms,
         is_last_try: true,
     }
 }
 
 /// Plays asks, each with the time at which it comes, and says when each was granted.
-fn play(asks: &[(u64, RateAsk)], rate_per_s: f64, for_ms: u64) -> BTreeMap<u64, u64> {
+fn play(asks: &[(u64, RateGrantRequest)], rate_per_s: f64, for_ms: u64) -> BTreeMap<u64, u64> {
     let mut queue = RateQueue::new(0);
     let mut granted = BTreeMap::new();
     for now_ms in 0..for_ms {
         let come = asks.iter().filter(|(at_ms, _)| *at_ms == now_ms);
         for (_, ask) in come {
-            if queue.ask(*ask, rate_per_s, now_ms) == Some(RateVerdict::Granted) {
+            if queue.submit(*ask, rate_per_s, now_ms) == Some(RateVerdict::Granted) {
                 granted.insert(ask.id, now_ms);
             }
         }
@@ -88,8 +88,8 @@
 #[test]
 fn what_cannot_be_granted_in_time_is_denied_at_once() {
     let mut queue = RateQueue::new(0);
-    assert_eq!(queue.ask(ask(1, 1, 1, 2_000), 1.0, 0), None);
-    let denied = queue.ask(ask(2, 1, 1, 1_500), 1.0, 0);
+    assert_eq!(queue.submit(ask(1, 1, 1, 2_000), 1.0, 0), None);
+    let denied = queue.submit(ask(2, 1, 1, 1_500), 1.0, 0);
     let Some(RateVerdict::Denied { retry_after_ms }) = denied else {
         panic!("{denied:?}");
     };
@@ -99,7 +99,7 @@
 #[test]
 fn callers_that_are_sent_away_come_back_one_after_another() {
     let mut queue = RateQueue::new(0);
-    let mut denied = |id| match queue.ask(ask(id, id, 1, 0), 2.0, 0) {
+    let mut denied = |id| match queue.submit(ask(id, id, 1, 0), 2.0, 0) {
         Some(RateVerdict::Denied { retry_after_ms }) => retry_after_ms,
         other => panic!("{other:?}"),
     };
@@ -115,10 +115,10 @@
 fn a_grant_whose_call_was_not_sent_goes_to_the_next() {
     let mut queue = RateQueue::new(0);
     assert_eq!(
-        queue.ask(ask(1, 1, 1, 5_000), 1.0, 1_100),
+        queue.submit(ask(1, 1, 1, 5_000), 1.0, 1_100),
         Some(RateVerdict::Granted)
     );
-    assert_eq!(queue.ask(ask(2, 1, 1, 5_000), 1.0, 1_100), None);
-    queue.not_sent();
+    assert_eq!(queue.submit(ask(2, 1, 1, 5_000), 1.0, 1_100), None);
+    queue.refund();
     assert_eq!(queue.run(1.0, 1_101), vec![(2, RateVerdict::Granted)]);
 }
--- a/components/policy/src/rate/share.rs
+++ b/components/policy/src/rate/share.rs
@@ -12,9 +12,9 @@
 const OWN_DEPTH: f64 = 1.0;
 
 /// Part of a limit that is granted by whoever has just taken the role over: the box that had it may be cut off, and grant as well.
-pub const TAKEN_OVER_SHARE: f64 = 0.5;
+pub const FAILOVER_SHARE: f64 = 0.5;
 /// How long the part is that. By then it is known which boxes are cut off.
-pub const TAKEN_OVER_MS: u64 = 5_000;
+pub const FAILOVER_MS: u64 = 5_000;
 
 /// Refills the bucket of whoever grants the tokens of a limit.
 pub(crate) fn refill(bucket: &mut TokenBucket, rate_per_s: f64, now_ms: u64) {
@@ -25,11 +25,11 @@
 /// One box's part of a limit. It begins when the box first reaches no coordinator: until then a coordinator grants the whole
 /// limit, and what each box had saved up meanwhile would come on top of that.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RateShare(Option<TokenBucket>);
+pub struct FallbackShare(Option<TokenBucket>);
 
-impl RateShare {
+impl FallbackShare {
     /// Notes that a coordinator answered.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         self.0 = None;
     }
 
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// How long until there is one.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         rate_per_s: f64,
         boxes: usize,
@@ -50,7 +50,7 @@
             .0
             .get_or_insert_with(|| TokenBucket::new(saved, now_ms));
         bucket.refill(own_per_s, OWN_DEPTH, now_ms);
-        match bucket.take() {
+        match bucket.try_take() {
             true => Ok(()),
             false => Err(bucket.wait_ms(1.0, own_per_s)),
         }
--- a/components/policy/tests/rate_limits.rs
+++ b/components/policy/tests/rate_limits.rs
@@ -1,7 +1,9 @@
 //! The requests of all boxes at one target that announces a rate limit, in virtual time: what a coordinator grants, and what boxes
 //! send by their own shares while they reach none. `cargo test -p policy --test rate_limits -- --nocapture` prints the figures.
 
-use policy::{RateAsk, RateQueue, RateShare, RateVerdict, TAKEN_OVER_MS, TAKEN_OVER_SHARE};
+use policy::{
+    FAILOVER_MS, FAILOVER_SHARE, FallbackShare, RateGrantRequest, RateQueue, RateVerdict,
+};
 use prelude::AccountId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -52,14 +54,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     by: usize,
-    ask: RateAsk,
+    ask: RateGrantRequest,
 }
 
 struct Fleet {
     scene: Scene,
     /// What the two boxes first in rank have granted; on either side of a split one of them.
     queues: [RateQueue; 2],
-    shares: Vec<RateShare>,
+    shares: Vec<FallbackShare>,
     /// Until when a box passes the first in rank over.
     passed_over_ms: Vec<u64>,
     /// When the second in rank began to find out whether the first answers.
@@ -75,7 +77,7 @@
         Self {
             scene,
             queues: [RateQueue::new(0), RateQueue::new(0)],
-            shares: vec![RateShare::default(); scene.boxes],
+            shares: vec![FallbackShare::default(); scene.boxes],
             passed_over_ms: vec![0; scene.boxes],
             check_ms: None,
             to_coordinators: BTreeMap::new(),
@@ -101,12 +103,12 @@
 
     /// What a coordinator grants. The first one finds out late that it is cut off from half of the boxes.
     fn granted_rate(&self, by: usize, now_ms: u64) -> f64 {
-        let known = |from_ms: u64| now_ms >= from_ms + TAKEN_OVER_MS;
+        let known = |from_ms: u64| now_ms >= from_ms + FAILOVER_MS;
         let part = match self.scene.trouble {
             Trouble::Split { from_ms } if by == 0 && !known(from_ms) => 1.0,
             Trouble::Split { from_ms } if now_ms >= from_ms => 0.5,
             Trouble::CoordinatorAway { from_ms, .. } if by == 1 && !known(from_ms) => {
-                TAKEN_OVER_SHARE
+                FAILOVER_SHARE
             }
             _ => 1.0,
         };
@@ -114,12 +116,12 @@
     }
 
     fn call(&mut self, by: usize, id: u64, now_ms: u64) {
-        let ask = RateAsk {
+        let ask = RateGrantRequest {
             id,
             account: AccountId(id % 5),
             weight: 1.0,
             rank: 1,
-            until_ms: now_ms + WAY_MS + WAIT_MS,
+            deadline_ms: now_ms + WAY_MS + WAIT_MS,
             is_last_try: true,
         };
         let asked = Asked { by, ask };
@@ -146,8 +148,8 @@
             self.take_own(asked, now_ms + WAY_MS);
         } else {
             let rate_per_s = self.granted_rate(to, now_ms);
-            self.shares[asked.by].end();
-            let verdict = self.queues[to].ask(asked.ask, rate_per_s, now_ms);
+            self.shares[asked.by].reset();
+            let verdict = self.queues[to].submit(asked.ask, rate_per_s, now_ms);
             if verdict == Some(RateVerdict::Granted) {
                 self.arrivals_ms.push(now_ms + 2 * WAY_MS);
             }
@@ -163,7 +165,7 @@
         let (boxes, limit_per_s) = (self.scene.boxes, self.scene.limit_per_s);
         let draw = (asked.by as f64 + 0.5) / boxes as f64;
         if self.shares[asked.by]
-            .take(limit_per_s, boxes, draw, now_ms)
+            .try_take(limit_per_s, boxes, draw, now_ms)
             .is_ok()
         {
             self.arrivals_ms.push(now_ms + WAY_MS);
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -3,7 +3,7 @@
 use crate::state::{Declared, Relay, pool_of};
 use crate::watch::targets::{Target, TargetBook};
 use peers::EngineFault;
-use policy::{EngineInfo, EngineState, Pool, TAKEN_OVER_MS, TAKEN_OVER_SHARE};
+use policy::{EngineInfo, EngineState, FAILOVER_MS, FAILOVER_SHARE, Pool};
 use prelude::{PoolId, TargetId};
 use routing::Service;
 use settings::Mechanism;
@@ -60,9 +60,9 @@
     fn rate_per_s(&self, target: &Target, now_ms: u64) -> Option<f64> {
         let limit = &target.rate_limit;
         let granted_before = limit.limited_since_ms < self.began_ms;
-        let takes_over = granted_before && now_ms < self.began_ms + TAKEN_OVER_MS;
+        let takes_over = granted_before && now_ms < self.began_ms + FAILOVER_MS;
         let part = match takes_over {
-            true => TAKEN_OVER_SHARE,
+            true => FAILOVER_SHARE,
             false => 1.0,
         };
         let rate_per_s = limit.announced.rate_per_s(now_ms)?;
--- a/components/relay/src/rate_limit/announced.rs
+++ b/components/relay/src/rate_limit/announced.rs
@@ -3,7 +3,7 @@
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use peers::TargetRate;
-use policy::RateWord;
+use policy::RateObservation;
 use std::rc::Rc;
 
 /// Longest time that a message of a peer is under way: so much earlier the answer that it is about may have been made.
@@ -19,10 +19,10 @@
         limit_per_s: Option<f64>,
         sent_ms: u64,
     ) {
-        let word = RateWord {
+        let word = RateObservation {
             limit_per_s,
-            made_from_ms: sent_ms,
-            made_until_ms: self.now_ms(),
+            earliest_ms: sent_ms,
+            latest_ms: self.now_ms(),
         };
         self.observe_rate_word(slot, word, "answer");
     }
@@ -44,15 +44,20 @@
         };
         let now_ms = self.now_ms();
         let from_ms = u64::from(rate.made_from_ms_ago) + under_way_ms;
-        let word = RateWord {
+        let word = RateObservation {
             limit_per_s,
-            made_from_ms: now_ms.saturating_sub(from_ms),
-            made_until_ms: now_ms.saturating_sub(rate.made_until_ms_ago.into()),
+            earliest_ms: now_ms.saturating_sub(from_ms),
+            latest_ms: now_ms.saturating_sub(rate.made_until_ms_ago.into()),
         };
         self.observe_rate_word(slot, word, "peer");
     }
 
-    fn observe_rate_word(self: &Rc<Self>, slot: TargetSlot, word: RateWord, source: &'static str) {
+    fn observe_rate_word(
+        self: &Rc<Self>,
+        slot: TargetSlot,
+        word: RateObservation,
+        source: &'static str,
+    ) {
         let now_ms = self.now_ms();
         let shown = {
             let mut targets = self.targets.borrow_mut();
@@ -89,13 +94,13 @@
         let now_ms = self.now_ms();
         let targets = self.targets.borrow();
         let target = targets.get(slot)?;
-        let word = target.rate_limit.announced.word()?;
+        let word = target.rate_limit.announced.effective()?;
         let age_ms = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
         Some(TargetRate {
             target: target.id,
             limit_per_s: word.limit_per_s.map(|limit| limit as f32),
-            made_from_ms_ago: age_ms(word.made_from_ms),
-            made_until_ms_ago: age_ms(word.made_until_ms),
+            made_from_ms_ago: age_ms(word.earliest_ms),
+            made_until_ms_ago: age_ms(word.latest_ms),
         })
     }
 
--- a/components/relay/src/rate_limit/coordinator.rs
+++ b/components/relay/src/rate_limit/coordinator.rs
@@ -6,7 +6,7 @@
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use peers::{RateTokenReply, RateTokenRequest};
-use policy::{RateAsk, RateQueue, RateVerdict, TAKEN_OVER_MS, TAKEN_OVER_SHARE};
+use policy::{FAILOVER_MS, FAILOVER_SHARE, RateGrantRequest, RateQueue, RateVerdict};
 use prelude::{BoxId, TargetId};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     /// What may be granted of a rate.
     fn part_of(&self, rate_per_s: f64, now_ms: u64) -> f64 {
         match now_ms < self.taking_over_until_ms {
-            true => rate_per_s * TAKEN_OVER_SHARE,
+            true => rate_per_s * FAILOVER_SHARE,
             false => rate_per_s,
         }
     }
@@ -54,7 +54,7 @@
             let asker = self.waiting.remove(&id);
             let is_taken = asker.is_some_and(|asker| asker.send(verdict).is_ok());
             if !is_taken && verdict == RateVerdict::Granted {
-                self.queue.not_sent();
+                self.queue.refund();
             }
         }
     }
@@ -132,7 +132,7 @@
         slog::info!(self.log, "granting rate tokens"; "takes_over" => takes_over,
             "target" => found.map(|target| &*target.entry.instance));
         match takes_over {
-            true => Grants::new(now_ms, now_ms + TAKEN_OVER_MS),
+            true => Grants::new(now_ms, now_ms + FAILOVER_MS),
             false => Grants::new(now_ms, 0),
         }
     }
@@ -152,15 +152,15 @@
         let rate_per_s = grants.part_of(rate_per_s, now_ms);
         grants.run(rate_per_s, now_ms);
         grants.last_id += 1;
-        let ask = RateAsk {
+        let ask = RateGrantRequest {
             id: grants.last_id,
             account: request.account,
             weight: self.file().accounts.weight_of(request.account),
             rank: request.rank,
-            until_ms: now_ms + u64::from(request.wait_ms),
+            deadline_ms: now_ms + u64::from(request.wait_ms),
             is_last_try: request.is_last_try,
         };
-        if let Some(verdict) = grants.queue.ask(ask, rate_per_s, now_ms) {
+        if let Some(verdict) = grants.queue.submit(ask, rate_per_s, now_ms) {
             return Ok(verdict);
         }
         let (asker, verdict) = oneshot::channel();
@@ -195,7 +195,7 @@
         };
         let rate_per_s = grants.part_of(rate_per_s, now_ms);
         grants.run(rate_per_s, now_ms);
-        let next_ms = grants.queue.next_ms(rate_per_s, now_ms);
+        let next_ms = grants.queue.next_run_in_ms(rate_per_s, now_ms);
         next_ms.unwrap_or_default()
     }
 
--- a/components/relay/src/rate_limit/state.rs
+++ b/components/relay/src/rate_limit/state.rs
@@ -2,7 +2,7 @@
 
 use crate::rate_limit::coordinator::Grants;
 use crate::watch::targets::TargetSlot;
-use policy::{AnnouncedRate, HintBudget, RateShare, RateWord};
+use policy::{AnnouncedRate, FallbackShare, HintBudget, RateObservation};
 use prelude::TargetId;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -20,14 +20,14 @@
     /// The limit when it was last logged, and sent to other boxes.
     shown_per_s: Option<f64>,
     /// What this box may send while it reaches no coordinator.
-    pub share: RateShare,
+    pub share: FallbackShare,
     /// There are no tokens until then, by the coordinator's last answer.
     pub no_token_until_ms: u64,
 }
 
 impl TargetRateLimit {
     /// Takes a word in. Says whether the limit changed.
-    pub(super) fn observe(&mut self, word: RateWord, now_ms: u64) -> bool {
+    pub(super) fn observe(&mut self, word: RateObservation, now_ms: u64) -> bool {
         let was_limited = self.announced.is_limited();
         let is_changed = self.announced.observe(word, now_ms);
         if !was_limited {
@@ -38,7 +38,7 @@
 
     /// The limit that is to be shown now, and the one that was shown before; none where they are much the same.
     pub(super) fn take_shown(&mut self) -> Option<(Option<f64>, Option<f64>)> {
-        let word = self.announced.word();
+        let word = self.announced.effective();
         let limit_per_s = word.and_then(|word| word.limit_per_s);
         let is_same = match (limit_per_s, self.shown_per_s) {
             (Some(limit), Some(shown)) => (limit - shown).abs() <= shown * SAME_SHARE,
--- a/components/relay/src/rate_limit/token.rs
+++ b/components/relay/src/rate_limit/token.rs
@@ -54,7 +54,7 @@
             .get_mut(slot)
             .filter(|_| is_coordinated)
         {
-            target.rate_limit.share.end();
+            target.rate_limit.share.reset();
         }
         let outcome = match reply {
             Some(RateTokenReply::Granted) => Ok(()),
@@ -137,6 +137,6 @@
             return Ok(());
         };
         let share = &mut target.rate_limit.share;
-        share.take(rate_per_s, boxes, rand::random(), now_ms)
+        share.try_take(rate_per_s, boxes, rand::random(), now_ms)
     }
 }
