--- a/components/node/src/desk.rs
+++ b/components/node/src/desk.rs
@@ -116,11 +116,11 @@
     }
 
     pub fn fresh_request(&self) {
-        lock(&self.inner).retries.fresh();
+        lock(&self.inner).retries.record_request();
     }
 
     pub fn take_retry(&self) -> bool {
-        lock(&self.inner).retries.take()
+        lock(&self.inner).retries.try_take()
     }
 
     pub fn report(&self, target: TargetId, running: u32, waiting: u32) {
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -53,5 +53,5 @@
 pub use rate::bucket::TokenBucket;
 pub use rate::queue::{RateGrantRequest, RateQueue, RateVerdict};
 pub use rate::share::{FAILOVER_MS, FAILOVER_SHARE, FallbackShare};
-pub use retries::resend::{ResendBound, ResendWindow};
-pub use retries::retry::RetryBudget;
+pub use retries::budget::RetryBudget;
+pub use retries::window::{RetryLimit, RetryWindow};
--- a/components/policy/src/retries/retry.rs
+++ b/components/policy/src/retries/budget.rs
@@ -20,12 +20,12 @@
     }
 
     /// Counts a fresh request.
-    pub fn fresh(&mut self) {
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.share).min(BURST);
     }
 
     /// Takes one retry, where the budget has one left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -35,5 +35,5 @@
 }
 
 #[cfg(test)]
-#[path = "retry_tests.rs"]
+#[path = "budget_tests.rs"]
 mod tests;
--- a/components/policy/src/retries/retry_tests.rs
+++ b/components/policy/src/retries/budget_tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn allows_a_share_of_fresh_requests() {
     let mut budget = RetryBudget::new(0.1);
-    while budget.take() {}
+    while budget.try_take() {}
     for _ in 0..100 {
-        budget.fresh();
+        budget.record_request();
     }
-    let taken = std::iter::repeat_with(|| budget.take()).take_while(|taken| *taken);
+    let taken = std::iter::repeat_with(|| budget.try_take()).take_while(|taken| *taken);
     assert!((9..=10).contains(&taken.count()));
 }
--- a/components/policy/src/retries/mod.rs
+++ b/components/policy/src/retries/mod.rs
@@ -1,4 +1,4 @@
 //! Budgets of second sends.
 
-pub(crate) mod resend;
-pub(crate) mod retry;
+pub(crate) mod budget;
+pub(crate) mod window;
--- a/components/policy/src/retries/resend.rs
+++ b/components/policy/src/retries/window.rs
@@ -17,25 +17,25 @@
 
 /// What the users were promised of second sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResendBound {
+pub struct RetryLimit {
     /// Second sends as a share of requests.
     pub share: f64,
     /// Second sends beyond that share in each window, over all boxes.
-    pub spare: f64,
+    pub extra: f64,
     /// Length of the window.
     pub window_ms: u64,
 }
 
 /// The second sends of one box to one service.
 #[derive(Clone, Debug)]
-pub struct ResendWindow {
-    bound: ResendBound,
+pub struct RetryWindow {
+    bound: RetryLimit,
     parts: VecDeque<Part>,
 }
 
-impl ResendWindow {
+impl RetryWindow {
     /// An empty window.
-    pub fn new(bound: ResendBound) -> Self {
+    pub fn new(bound: RetryLimit) -> Self {
         Self {
             bound,
             parts: VecDeque::new(),
@@ -43,18 +43,18 @@
     }
 
     /// Changes what was promised; what was counted stays.
-    pub fn set_bound(&mut self, bound: ResendBound) {
+    pub fn set_limit(&mut self, bound: RetryLimit) {
         self.bound = bound;
     }
 
     /// Counts a request that came.
-    pub fn request(&mut self, now_ms: u64) {
+    pub fn record_request(&mut self, now_ms: u64) {
         self.part(now_ms).requests += 1;
     }
 
     /// Takes one second send, where the part of a box among `boxes` has one left.
-    pub fn take(&mut self, boxes: usize, now_ms: u64) -> bool {
-        if self.left(boxes, now_ms) < 1.0 {
+    pub fn try_take(&mut self, boxes: usize, now_ms: u64) -> bool {
+        if self.remaining(boxes, now_ms) < 1.0 {
             return false;
         }
         self.part(now_ms).resends += 1;
@@ -62,11 +62,11 @@
     }
 
     /// Second sends that a box among `boxes` may still make now.
-    pub fn left(&mut self, boxes: usize, now_ms: u64) -> f64 {
+    pub fn remaining(&mut self, boxes: usize, now_ms: u64) -> f64 {
         self.part(now_ms);
         let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
         let resends: u32 = self.parts.iter().map(|part| part.resends).sum();
-        let own = self.bound.spare / boxes.max(1) as f64;
+        let own = self.bound.extra / boxes.max(1) as f64;
         let allowed = self.bound.share * f64::from(requests) + own;
         allowed * USED - f64::from(resends)
     }
@@ -93,5 +93,5 @@
 }
 
 #[cfg(test)]
-#[path = "resend_tests.rs"]
+#[path = "window_tests.rs"]
 mod tests;
--- a/components/policy/src/retries/resend_tests.rs
+++ b/components/policy/src/retries/window_tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-const BOUND: ResendBound = ResendBound {
+const BOUND: RetryLimit = RetryLimit {
     share: 0.2,
-    spare: 80.0,
+    extra: 80.0,
     window_ms: 10_000,
 };
 
-fn taken(window: &mut ResendWindow, boxes: usize, now_ms: u64) -> usize {
-    std::iter::repeat_with(|| window.take(boxes, now_ms))
+fn taken(window: &mut RetryWindow, boxes: usize, now_ms: u64) -> usize {
+    std::iter::repeat_with(|| window.try_take(boxes, now_ms))
         .take_while(|taken| *taken)
         .count()
 }
 
 #[test]
 fn takes_the_part_of_one_box() {
-    let mut window = ResendWindow::new(BOUND);
+    let mut window = RetryWindow::new(BOUND);
     assert_eq!(taken(&mut window, 8, 0), 8);
     assert_eq!(taken(&mut window, 8, 9_000), 0);
     assert_eq!(taken(&mut window, 8, 11_000), 8);
@@ -22,9 +22,9 @@
 
 #[test]
 fn allows_a_share_of_the_requests_of_the_window() {
-    let mut window = ResendWindow::new(BOUND);
+    let mut window = RetryWindow::new(BOUND);
     for at_ms in 0..100 {
-        window.request(at_ms * 10);
+        window.record_request(at_ms * 10);
     }
     assert_eq!(taken(&mut window, 8, 1_000), 24);
     assert_eq!(taken(&mut window, 8, 30_000), 8);
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -104,7 +104,7 @@
 /// Serves a plain request.
 pub(crate) async fn call(relay: &Rc<Relay>, incoming: &Incoming, way: &Way) -> Reply {
     let service = &way.service().name;
-    relay.resend_window(service, |window, now_ms| window.request(now_ms));
+    relay.resend_window(service, |window, now_ms| window.record_request(now_ms));
     let mut attempts = CallAttempts::default();
     let due_ms = incoming.due_ms(way.route());
     wait_for_room(relay, incoming, way).await;
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -54,7 +54,7 @@
         return not_begun(relay, caller, incoming, way, own).await;
     }
     let service = &way.service().name;
-    relay.resend_window(service, |window, now_ms| window.request(now_ms));
+    relay.resend_window(service, |window, now_ms| window.record_request(now_ms));
     let started = tokio::select! {
         started = start(relay, incoming, way) => started,
         () = caller.gone() => {
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -39,7 +39,7 @@
             let mut windows = self.resends.borrow_mut();
             windows
                 .values_mut()
-                .for_each(|window| window.set_bound(bound));
+                .for_each(|window| window.set_limit(bound));
         }
         if before.without != now.without || before.accounts != now.accounts {
             let mut dispatchers = self.dispatchers.borrow_mut();
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -21,7 +21,7 @@
 use arc_swap::Guard;
 use peers::{FleetCard, FleetClients, FleetDigest, KeyRing};
 use platform::{FleetStore, Lease};
-use policy::{Quarantine, ResendBound, ResendWindow};
+use policy::{Quarantine, RetryLimit, RetryWindow};
 use prelude::{BoxId, Clock, DataCentreId, ModelId, PoolId};
 use reload::{Live, Snapshot};
 use routing::RoutingTable;
@@ -83,7 +83,7 @@
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Runs that broke off lately.
     pub(crate) broken_runs: RefCell<BrokenRuns>,
-    pub(crate) resends: RefCell<HashMap<Box<str>, ResendWindow>>,
+    pub(crate) resends: RefCell<HashMap<Box<str>, RetryWindow>>,
     pub(crate) members: RefCell<Members>,
     pub(crate) dispatchers: RefCell<HashMap<PoolId, Dispatcher>>,
     pub(crate) open_generations: RefCell<OpenGenerations>,
@@ -150,10 +150,10 @@
 }
 
 /// What the users were promised of second sends.
-pub(crate) fn resend_bound(promises: &FleetPromises) -> ResendBound {
-    ResendBound {
+pub(crate) fn resend_bound(promises: &FleetPromises) -> RetryLimit {
+    RetryLimit {
         share: promises.resend_share,
-        spare: promises.resend_spare,
+        extra: promises.resend_spare,
         window_ms: (promises.resend_window_s * 1000.0) as u64,
     }
 }
@@ -320,12 +320,12 @@
     pub(crate) fn resend_window<T>(
         &self,
         service: &str,
-        act: impl FnOnce(&mut ResendWindow, u64) -> T,
+        act: impl FnOnce(&mut RetryWindow, u64) -> T,
     ) -> T {
         let mut windows = self.resends.borrow_mut();
         if !windows.contains_key(service) {
             let bound = resend_bound(&self.file().promises);
-            windows.insert(service.into(), ResendWindow::new(bound));
+            windows.insert(service.into(), RetryWindow::new(bound));
         }
         let now_ms = self.now_ms();
         match windows.get_mut(service) {
@@ -340,7 +340,7 @@
             true => self.members.borrow().budget_share(),
             false => 1,
         };
-        let taken = self.resend_window(service, |window, now_ms| window.take(boxes, now_ms));
+        let taken = self.resend_window(service, |window, now_ms| window.try_take(boxes, now_ms));
         let name = match taken {
             true => "shuntpier_resends",
             false => "shuntpier_resends_denied",
