--- a/components/policy/src/rate/bucket.rs
+++ b/components/policy/src/rate/bucket.rs
@@ -1,64 +1,64 @@
-//! A token bucket (Turner, 1986) whose rate and depth may change while it is in use.
+//! Token bucket (Turner, 1986) whose rate and depth may change between uses.
 
-/// Tokens that a bucket owes at the most.
+/// Largest debt of a bucket, in tokens.
 const DEBT_MAX: f64 = 8.0;
 
-/// A bucket. Its rate and depth are given with each use.
+/// A token bucket. The caller passes its rate and depth with each use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     tokens: f64,
-    at_ms: u64,
+    refilled_ms: u64,
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens in it.
+    /// Creates a bucket that contains `tokens`.
     pub fn new(tokens: f64, now_ms: u64) -> Self {
         Self {
             tokens,
-            at_ms: now_ms,
+            refilled_ms: now_ms,
         }
     }
 
-    /// Adds the tokens of the time since the last use.
+    /// Adds the tokens for the time since the last refill, up to `depth`.
     pub fn refill(&mut self, rate_per_s: f64, depth: f64, now_ms: u64) {
-        let passed_s = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0;
-        self.tokens = (self.tokens + passed_s * rate_per_s).min(depth);
-        self.at_ms = self.at_ms.max(now_ms);
+        let elapsed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1_000.0;
+        self.tokens = (self.tokens + elapsed_s * rate_per_s).min(depth);
+        self.refilled_ms = self.refilled_ms.max(now_ms);
     }
 
-    /// The tokens in it, below zero where it owes some.
+    /// The available tokens; negative if the bucket is in debt.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Whether there is a token.
+    /// Whether a token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes a token, where there is one.
+    /// Takes a token if one is available. Returns whether it did.
     pub fn try_take(&mut self) -> bool {
-        let is_there = self.has_token();
-        if is_there {
+        let is_available = self.has_token();
+        if is_available {
             self.tokens -= 1.0;
         }
-        is_there
+        is_available
     }
 
-    /// Takes a token whether there is one or not: those that come later wait for it.
+    /// Takes a token even if none is available. Later calls wait until the debt is refilled.
     pub fn take_on_credit(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-DEBT_MAX);
     }
 
-    /// Puts a token back that was not used.
+    /// Puts back an unused token.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// How long until there are so many tokens, if none is taken.
+    /// Time until `tokens` are available, if none is taken meanwhile.
     pub fn wait_ms(&self, tokens: f64, rate_per_s: f64) -> u64 {
-        let lacking = (tokens - self.tokens).max(0.0);
-        (lacking / rate_per_s * 1_000.0).ceil() as u64
+        let missing = (tokens - self.tokens).max(0.0);
+        (missing / rate_per_s * 1_000.0).ceil() as u64
     }
 }
 
--- a/components/policy/src/rate/bucket_tests.rs
+++ b/components/policy/src/rate/bucket_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_bucket_gives_no_more_than_its_rate_and_depth() {
+fn grants_no_more_than_its_rate_and_depth() {
     let mut bucket = TokenBucket::new(0.0, 0);
     let mut taken = 0;
     for now_ms in 0..10_000 {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_was_borrowed_is_waited_for() {
+fn a_token_taken_on_credit_delays_the_next_one() {
     let mut bucket = TokenBucket::new(0.0, 0);
     bucket.take_on_credit();
     assert_eq!(bucket.wait_ms(1.0, 2.0), 1_000);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_clock_that_seems_to_go_back_adds_nothing_twice() {
+fn a_clock_that_steps_back_adds_no_tokens_twice() {
     let mut bucket = TokenBucket::new(0.0, 1_000);
     bucket.refill(1.0, 5.0, 2_000);
     bucket.refill(1.0, 5.0, 1_500);
--- a/components/policy/src/rate/mod.rs
+++ b/components/policy/src/rate/mod.rs
@@ -1,4 +1,4 @@
-//! Rate limits that targets announce, kept by all boxes together.
+//! Rate limits that targets announce, enforced across all boxes.
 
 pub(crate) mod announced;
 pub(crate) mod bucket;
