--- a/components/policy/src/retries/budget.rs
+++ b/components/policy/src/retries/budget.rs
@@ -1,30 +1,30 @@
-//! A retry budget: retries are a share of fresh requests, so that faults do not multiply load.
+//! Retry budget: retries are limited to a share of new requests, so that failures do not multiply the load.
 
-/// A bucket of tokens, filled by fresh requests and spent by retries.
+/// Token bucket that new requests fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
+    retry_share: f64,
     tokens: f64,
 }
 
-/// Retries that may be made at once after a quiet time.
+/// Depth of the bucket: the largest burst of retries after an idle period.
 const BURST: f64 = 20.0;
 
 impl RetryBudget {
-    /// A full bucket that gains `share` of a retry for each fresh request.
-    pub fn new(share: f64) -> Self {
+    /// Creates a full bucket that gains `retry_share` tokens for each new request.
+    pub fn new(retry_share: f64) -> Self {
         Self {
-            share,
+            retry_share,
             tokens: BURST,
         }
     }
 
-    /// Counts a fresh request.
+    /// Counts a new request.
     pub fn record_request(&mut self) {
-        self.tokens = (self.tokens + self.share).min(BURST);
+        self.tokens = (self.tokens + self.retry_share).min(BURST);
     }
 
-    /// Takes one retry, where the budget has one left.
+    /// Takes one retry if the budget allows it. Returns whether it does.
     pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/components/policy/src/retries/budget_tests.rs
+++ b/components/policy/src/retries/budget_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn allows_a_share_of_fresh_requests() {
+fn allows_retries_as_a_share_of_new_requests() {
     let mut budget = RetryBudget::new(0.1);
     while budget.try_take() {}
     for _ in 0..100 {
--- a/components/policy/src/retries/mod.rs
+++ b/components/policy/src/retries/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets of second sends.
+//! Limits on retries.
 
 pub(crate) mod budget;
 pub(crate) mod window;
--- a/components/policy/src/retries/window.rs
+++ b/components/policy/src/retries/window.rs
@@ -1,94 +1,98 @@
-//! How often requests may be sent to a second target. The bound is on all boxes together; each box takes
-//! its part of it, from the requests that it sees itself and from how many boxes there are.
+//! Limit on retries and hedged requests at other targets, over a sliding window. The limit applies to all boxes together; each
+//! box computes its own share from the requests that it receives and the number of boxes.
 
 use std::collections::VecDeque;
 
-/// Parts into which the window is divided.
-const PARTS: u64 = 20;
-/// Share of the bound that is used: boxes see the number of boxes late.
-const USED: f64 = 0.8;
+/// Number of buckets in a window.
+const BUCKETS: u64 = 20;
+/// Share of the limit that is used, because boxes learn of changes in the number of boxes late.
+const USED_SHARE: f64 = 0.8;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     number: u64,
     requests: u32,
-    resends: u32,
+    retries: u32,
 }
 
-/// What the users were promised of second sends.
+/// Limit on retries that the settings promise to users.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Second sends as a share of requests.
+    /// Retries as a share of requests.
     pub share: f64,
-    /// Second sends beyond that share in each window, over all boxes.
+    /// Retries allowed in addition to that share in each window, by all boxes together.
     pub extra: f64,
-    /// Length of the window.
+    /// Length of the window, in ms.
     pub window_ms: u64,
 }
 
-/// The second sends of one box to one service.
+/// Requests and retries of one box to one service within the window.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
-    bound: RetryLimit,
-    parts: VecDeque<Part>,
+    limit: RetryLimit,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryWindow {
-    /// An empty window.
-    pub fn new(bound: RetryLimit) -> Self {
+    /// Creates an empty window.
+    pub fn new(limit: RetryLimit) -> Self {
         Self {
-            bound,
-            parts: VecDeque::new(),
+            limit,
+            buckets: VecDeque::new(),
         }
     }
 
-    /// Changes what was promised; what was counted stays.
-    pub fn set_limit(&mut self, bound: RetryLimit) {
-        self.bound = bound;
+    /// Changes the limit and keeps the counts.
+    pub fn set_limit(&mut self, limit: RetryLimit) {
+        self.limit = limit;
     }
 
-    /// Counts a request that came.
+    /// Counts a request that arrives.
     pub fn record_request(&mut self, now_ms: u64) {
-        self.part(now_ms).requests += 1;
+        self.bucket(now_ms).requests += 1;
     }
 
-    /// Takes one second send, where the part of a box among `boxes` has one left.
+    /// Takes one retry if the share of one box among `boxes` allows it. Returns whether it does.
     pub fn try_take(&mut self, boxes: usize, now_ms: u64) -> bool {
         if self.remaining(boxes, now_ms) < 1.0 {
             return false;
         }
-        self.part(now_ms).resends += 1;
+        self.bucket(now_ms).retries += 1;
         true
     }
 
-    /// Second sends that a box among `boxes` may still make now.
+    /// Retries that the share of one box among `boxes` still allows.
     pub fn remaining(&mut self, boxes: usize, now_ms: u64) -> f64 {
-        self.part(now_ms);
-        let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
-        let resends: u32 = self.parts.iter().map(|part| part.resends).sum();
-        let own = self.bound.extra / boxes.max(1) as f64;
-        let allowed = self.bound.share * f64::from(requests) + own;
-        allowed * USED - f64::from(resends)
+        self.bucket(now_ms);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let box_extra = self.limit.extra / boxes.max(1) as f64;
+        let allowed = self.limit.share * f64::from(requests) + box_extra;
+        allowed * USED_SHARE - f64::from(retries)
     }
 
-    fn part(&mut self, now_ms: u64) -> &mut Part {
-        let length_ms = (self.bound.window_ms / PARTS).max(1);
-        let number = now_ms / length_ms;
+    fn bucket(&mut self, now_ms: u64) -> &mut Bucket {
+        let bucket_ms = (self.limit.window_ms / BUCKETS).max(1);
+        let number = now_ms / bucket_ms;
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|part| part.number + PARTS < number)
+            .is_some_and(|bucket| bucket.number + BUCKETS < number)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number != number) {
-            self.parts.push_back(Part {
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.number != number)
+        {
+            self.buckets.push_back(Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
 
--- a/components/policy/src/retries/window_tests.rs
+++ b/components/policy/src/retries/window_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const BOUND: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     share: 0.2,
     extra: 80.0,
     window_ms: 10_000,
@@ -13,16 +13,16 @@
 }
 
 #[test]
-fn takes_the_part_of_one_box() {
-    let mut window = RetryWindow::new(BOUND);
+fn allows_one_box_its_share_of_the_extra_retries() {
+    let mut window = RetryWindow::new(LIMIT);
     assert_eq!(taken(&mut window, 8, 0), 8);
     assert_eq!(taken(&mut window, 8, 9_000), 0);
     assert_eq!(taken(&mut window, 8, 11_000), 8);
 }
 
 #[test]
-fn allows_a_share_of_the_requests_of_the_window() {
-    let mut window = RetryWindow::new(BOUND);
+fn allows_a_share_of_the_requests_in_the_window() {
+    let mut window = RetryWindow::new(LIMIT);
     for at_ms in 0..100 {
         window.record_request(at_ms * 10);
     }
