--- a/components/policy/tests/pace_recorded.rs
+++ b/components/policy/tests/pace_recorded.rs
@@ -1,72 +1,75 @@
-//! Estimators of pace, held against recorded times between events: each telling is predicted before it is taken in.
+//! Compares pace estimators on recorded times between events: each sample is predicted before it is observed.
 
 use std::collections::HashMap;
 
 use policy::{EnginePace, GapsTold, Observed, PaceBook, PaceLoad};
 use prelude::TargetId;
 
-const RECORDED: &str = include_str!("data/gaps.csv");
-/// Tellings that are taken in before predictions are counted.
+const RECORDING: &str = include_str!("data/gaps.csv");
+/// Samples observed before predictions are counted.
 const WARMUP: usize = 100;
 
-fn recorded() -> Vec<(u64, Observed)> {
-    let lines = RECORDED.lines().skip(1);
-    lines.map(|line| telling(line).expect(line)).collect()
+fn recorded_samples() -> Vec<(u64, Observed)> {
+    let lines = RECORDING.lines().skip(1);
+    lines.map(|line| parse_sample(line).expect(line)).collect()
 }
 
-fn telling(line: &str) -> Option<(u64, Observed)> {
-    let words: Vec<&str> = line.split(',').collect();
-    let reading_share: f64 = words.get(3)?.parse().ok()?;
-    let short = |at: usize| words.get(at)?.parse::<u16>().ok();
+fn parse_sample(line: &str) -> Option<(u64, Observed)> {
+    let fields: Vec<&str> = line.split(',').collect();
+    let reading_share: f64 = fields.get(3)?.parse().ok()?;
+    let integer = |at: usize| fields.get(at)?.parse::<u16>().ok();
     let observed = Observed {
-        target: TargetId(words.get(1)?.parse().ok()?),
+        target: TargetId(fields.get(1)?.parse().ok()?),
         gaps: GapsTold {
-            events: short(4)?,
-            mean_ms: short(5)?,
-            longest_ms: short(6)?,
-            slowness_percent: short(7)?,
+            events: integer(4)?,
+            mean_ms: integer(5)?,
+            longest_ms: integer(6)?,
+            slowness_percent: integer(7)?,
         },
-        streams: words.get(2)?.parse().ok()?,
+        streams: fields.get(2)?.parse().ok()?,
         reading_share,
         read_beside: reading_share > 0.0,
         expected_ms: None,
     };
-    Some((words.first()?.parse().ok()?, observed))
+    Some((fields.first()?.parse().ok()?, observed))
 }
 
-/// Median and nine tenths of the errors, as shares of what was seen.
+/// Median and 90th percentile of the relative errors.
 fn quantiles(mut errors: Vec<f64>) -> (f64, f64) {
     errors.sort_by(f64::total_cmp);
     (errors[errors.len() / 2], errors[errors.len() * 9 / 10])
 }
 
-fn error(expected_ms: f64, observed: &Observed) -> f64 {
-    let seen_ms = f64::from(observed.gaps.mean_ms);
-    (expected_ms - seen_ms).abs() / seen_ms
+fn relative_error(expected_ms: f64, observed: &Observed) -> f64 {
+    let observed_ms = f64::from(observed.gaps.mean_ms);
+    (expected_ms - observed_ms).abs() / observed_ms
 }
 
-/// The mean of an engine's events, whatever the load on it; the pool's before it was seen.
-fn errors_of_means() -> Vec<f64> {
+/// Errors of a moving average of each engine's event interval, whatever its load. It starts from the average of the pool.
+fn errors_of_engine_means() -> Vec<f64> {
     let mut engines: HashMap<TargetId, f64> = HashMap::new();
     let mut pool_ms = 30.0;
     let mut errors = Vec::new();
-    for (_, observed) in recorded().iter().filter(|(_, seen)| seen.gaps.events >= 2) {
+    for (_, observed) in recorded_samples()
+        .iter()
+        .filter(|(_, observed)| observed.gaps.events >= 2)
+    {
         let mean_ms = engines.entry(observed.target).or_insert(pool_ms);
-        errors.push(error(*mean_ms, observed));
-        let seen_ms = f64::from(observed.gaps.mean_ms);
-        *mean_ms += 0.3 * (seen_ms - *mean_ms);
-        pool_ms += 0.02 * (seen_ms - pool_ms);
+        errors.push(relative_error(*mean_ms, observed));
+        let observed_ms = f64::from(observed.gaps.mean_ms);
+        *mean_ms += 0.3 * (observed_ms - *mean_ms);
+        pool_ms += 0.02 * (observed_ms - pool_ms);
     }
     errors.split_off(WARMUP)
 }
 
-/// Own speed apart from the load and from disturbances.
-fn errors_of_parts(listens: bool) -> Vec<f64> {
+/// Errors of [`PaceBook`], which models the speed of an engine separately from its load and from disturbances.
+fn errors_of_pace_model(uses_reported_slowness: bool) -> Vec<f64> {
     let mut book = PaceBook::default();
     let mut engines: HashMap<TargetId, EnginePace> = HashMap::new();
     let mut errors = Vec::new();
-    for (now_ms, mut observed) in recorded() {
-        if !listens {
+    for (now_ms, mut observed) in recorded_samples() {
+        if !uses_reported_slowness {
             observed.gaps.slowness_percent = 0;
         }
         book.set_usual(engines.values(), now_ms);
@@ -77,7 +80,7 @@
         };
         let expected_ms = book.event_ms(engine, load, now_ms);
         if observed.gaps.events >= 2 {
-            errors.push(expected_ms.map_or(1.0, |ms| error(ms, &observed)));
+            errors.push(expected_ms.map_or(1.0, |ms| relative_error(ms, &observed)));
         }
         book.observe(engine, &observed, now_ms);
     }
@@ -85,18 +88,21 @@
 }
 
 #[test]
-fn predicts_steps_better_by_parts_than_by_the_mean_of_an_engine() {
-    let mean = quantiles(errors_of_means());
-    let parts = quantiles(errors_of_parts(true));
-    println!("error at p50, p90: means {mean:.3?}, parts {parts:.3?}");
-    assert!(parts.0 < 0.65 * mean.0, "{parts:?} {mean:?}");
-    assert!(parts.1 < 0.8 * mean.1, "{parts:?} {mean:?}");
+fn the_pace_model_predicts_steps_better_than_the_mean_of_each_engine() {
+    let mean = quantiles(errors_of_engine_means());
+    let model = quantiles(errors_of_pace_model(true));
+    println!("error at p50, p90: means {mean:.3?}, model {model:.3?}");
+    assert!(model.0 < 0.65 * mean.0, "{model:?} {mean:?}");
+    assert!(model.1 < 0.8 * mean.1, "{model:?} {mean:?}");
 }
 
 #[test]
-fn predicts_nearly_as_well_where_engines_say_nothing_of_themselves() {
-    let told = quantiles(errors_of_parts(true));
-    let untold = quantiles(errors_of_parts(false));
-    println!("error at p50, p90: told {told:.3?}, untold {untold:.3?}");
-    assert!(untold.0 < told.0 + 0.05, "{untold:?} {told:?}");
+fn the_pace_model_predicts_nearly_as_well_without_reported_slowness() {
+    let reported = quantiles(errors_of_pace_model(true));
+    let unreported = quantiles(errors_of_pace_model(false));
+    println!("error at p50, p90: reported {reported:.3?}, unreported {unreported:.3?}");
+    assert!(
+        unreported.0 < reported.0 + 0.05,
+        "{unreported:?} {reported:?}"
+    );
 }
