--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What one decision of a dispatcher takes, at 71 engines and 800 open generations, and in pools of 100 to 10,000 engines: a
-//! request comes, is placed or waits, and an older one ends.
+//! Time of one decision of a dispatcher: a request arrives and is placed or queued, and an older one ends. Runs with 71 engines
+//! and 800 open generations, and in pools of 100 to 10,000 engines.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
@@ -10,7 +10,7 @@
 use std::hint::black_box;
 
 const ENGINES: u64 = 71;
-const OPEN: u64 = 800;
+const OPEN_GENERATIONS: u64 = 800;
 const ENGINE_TOKENS: u64 = 26_890;
 
 fn demand(serial: u64, now_ms: u64) -> Demand {
@@ -46,12 +46,12 @@
     }
 }
 
-/// A pool with so many generations open, those that are older in the middle of their answers.
-fn filled(settings: PoolSettings) -> Pool {
-    filled_at(settings, ENGINES)
+/// Creates a pool with [`OPEN_GENERATIONS`] open generations, of which the older ones have received events.
+fn filled_pool(settings: PoolSettings) -> Pool {
+    filled_pool_of_size(settings, ENGINES)
 }
 
-fn filled_at(settings: PoolSettings, engines: u64) -> Pool {
+fn filled_pool_of_size(settings: PoolSettings, engines: u64) -> Pool {
     let mut pool = Pool::new(settings);
     let engine = |id| EngineInfo {
         id: TargetId(id),
@@ -60,88 +60,89 @@
         cold_rate_per_s: None,
     };
     pool.set_engines(&(1..=engines).map(engine).collect::<Vec<_>>());
-    for serial in 0..OPEN {
-        step(&mut pool, serial, serial * 12);
+    for serial in 0..OPEN_GENERATIONS {
+        serve_one(&mut pool, serial, serial * 12);
     }
     pool
 }
 
-/// Events of engines that are uneven: a telling in three is twice as slow, one in seven disturbed.
-fn gaps(serial: u64) -> GapsTold {
-    let slow = if serial.is_multiple_of(3) { 2 } else { 1 };
-    let disturbed = if serial.is_multiple_of(7) { 3 } else { 1 };
+/// Uneven event gaps: one report in three is twice as slow, and one in seven is disturbed.
+fn event_gaps(serial: u64) -> GapsTold {
+    let slowdown = if serial.is_multiple_of(3) { 2 } else { 1 };
+    let disturbance = if serial.is_multiple_of(7) { 3 } else { 1 };
     GapsTold {
         events: 16,
-        mean_ms: 40 * slow,
-        longest_ms: 60 * slow * disturbed,
+        mean_ms: 40 * slowdown,
+        longest_ms: 60 * slowdown * disturbance,
         slowness_percent: 0,
     }
 }
 
-fn step(pool: &mut Pool, serial: u64, now_ms: u64) {
+/// Submits and schedules a request, reports progress of a recent one, and ends the oldest one.
+fn serve_one(pool: &mut Pool, serial: u64, now_ms: u64) {
     black_box(pool.submit(demand(serial, now_ms), now_ms));
     black_box(pool.run(now_ms));
-    let begun = serial.saturating_sub(30);
-    pool.progress(demand(begun, 0).permit, 1, now_ms);
-    pool.gaps_seen(demand(begun, 0).permit, gaps(serial), now_ms);
-    let Some(ended) = serial.checked_sub(OPEN) else {
+    let started = serial.saturating_sub(30);
+    pool.progress(demand(started, 0).permit, 1, now_ms);
+    pool.gaps_seen(demand(started, 0).permit, event_gaps(serial), now_ms);
+    let Some(ended) = serial.checked_sub(OPEN_GENERATIONS) else {
         return;
     };
     pool.release(demand(ended, 0).permit, 300, End::Finished);
 }
 
-fn decisions(criterion: &mut Criterion) {
-    let now = PoolSettings {
+fn decisions_by_policy(criterion: &mut Criterion) {
+    let defaults = PoolSettings {
         first_report_ms: 0,
         margin_min: 1.25,
         ..PoolSettings::default()
     };
-    let before = PoolSettings {
+    let bound_and_pace = PoolSettings {
         reading: ReadingPolicy::Bound,
         waiting: WaitingPolicy::Pace,
         prefill_tokens: 7_000,
         learns_pace: false,
-        ..now.clone()
+        ..defaults.clone()
     };
-    let without_pauses = PoolSettings {
+    let first_token = PoolSettings {
         learns_pace: false,
-        ..now.clone()
+        ..defaults.clone()
     };
-    let all = [
-        ("bound_and_pace", before),
-        ("first_token", without_pauses),
-        ("pauses", now),
+    let variants = [
+        ("bound_and_pace", bound_and_pace),
+        ("first_token", first_token),
+        ("pauses", defaults),
     ];
-    for (name, settings) in all {
-        let mut pool = filled(settings);
-        let mut serial = OPEN;
+    for (name, settings) in variants {
+        let mut pool = filled_pool(settings);
+        let mut serial = OPEN_GENERATIONS;
         criterion.bench_function(name, |bencher| {
             bencher.iter(|| {
                 serial += 1;
-                step(&mut pool, serial, serial * 12);
+                serve_one(&mut pool, serial, serial * 12);
             });
         });
     }
 }
 
-/// The same work in pools of different sizes.
-fn sizes(criterion: &mut Criterion) {
+/// Measures a decision in pools of different sizes.
+fn decisions_by_pool_size(criterion: &mut Criterion) {
     for engines in [100, 1_000, 10_000] {
         let settings = PoolSettings {
             first_report_ms: 0,
             margin_min: 1.25,
             ..PoolSettings::default()
         };
-        let mut pool = filled_at(settings, engines);
-        let mut serial = OPEN;
+        let mut pool = filled_pool_of_size(settings, engines);
+        let mut serial = OPEN_GENERATIONS;
         criterion.bench_function(&format!("engines_{engines}"), |bencher| {
             bencher.iter(|| {
                 serial += 1;
-                step(&mut pool, serial, serial * 12);
+                serve_one(&mut pool, serial, serial * 12);
             });
         });
     }
 }
 
-criterion_group!(benches, decisions, sizes);
+criterion_group!(benches, decisions_by_policy, decisions_by_pool_size);
 criterion_main!(benches);
