--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -56,7 +56,7 @@
         return not_begun(relay, caller, incoming, way, own).await;
     }
     let service = &way.service().name;
-    relay.resend_window(service, |window, now_ms| window.request(now_ms));
+    relay.resend_window(service, |window, now_ms| window.record_request(now_ms));
     let started = tokio::select! {
         started = start(relay, incoming, way) => started,
         () = caller.gone() => {
@@ -310,7 +310,7 @@
         }
         let mut ready = targets.of_service(service);
         let takes = |target: &Target| {
-            targets.takes_work(target) && target.backoff.left_ms(now_ms).is_none()
+            targets.takes_work(target) && target.backoff.remaining_ms(now_ms).is_none()
         };
         if ready.any(|(_, target)| takes(target)) {
             return None;
