--- a/components/policy/src/balance/choose.rs
+++ b/components/policy/src/balance/choose.rs
@@ -12,61 +12,61 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Its call's time as a share of the usual one, without a queue.
-    pub time_share: f64,
+    pub latency_ratio: f64,
     /// How full it is, as a share of its slots.
     pub fullness: f64,
     /// How often it fails, beyond what the route fails everywhere.
-    pub failed_share: f64,
+    pub excess_failure_rate: f64,
     /// What speaks against it otherwise: it is far, or cold.
-    pub extra: f64,
+    pub penalty: f64,
     /// Whether other boxes say that it does not answer.
-    pub spared: bool,
+    pub deprioritized: bool,
     /// Whether one box, this one or another, got no answer of it lately.
-    pub doubted: bool,
+    pub suspected: bool,
 }
 
 impl Candidate {
     /// The call's expected time there, in usual times, with what speaks against the target added.
     pub fn cost(&self) -> f64 {
-        let spared = f64::from(u8::from(self.spared)) * SPARED_COST;
-        let doubted = f64::from(u8::from(self.doubted)) * DOUBTED_COST;
-        let against = self.failed_share + self.extra + spared + doubted;
-        self.time_share * (1.0 + self.fullness) + against
+        let deprioritized = f64::from(u8::from(self.deprioritized)) * SPARED_COST;
+        let suspected = f64::from(u8::from(self.suspected)) * DOUBTED_COST;
+        let against = self.excess_failure_rate + self.penalty + deprioritized + suspected;
+        self.latency_ratio * (1.0 + self.fullness) + against
     }
 }
 
 /// A way to choose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choosing {
+pub enum SelectionPolicy {
     /// The emptiest by this box's own requests and the target's last word: nothing else counts.
-    Emptiest,
+    LeastLoaded,
     /// The better of two that are drawn.
-    TwoDrawn,
+    TwoChoices,
     /// The best of all that are given, with random noise on the costs.
-    Best,
+    LowestCost,
 }
 
 /// The place of the chosen one among `candidates`. `draw` gives uniform random numbers between 0 and 1.
 pub fn choose_target(
-    way: Choosing,
+    way: SelectionPolicy,
     candidates: &[Candidate],
     mut draw: impl FnMut() -> f64,
 ) -> Option<usize> {
     let count = candidates.len();
     match way {
-        Choosing::Emptiest => {
+        SelectionPolicy::LeastLoaded => {
             let cost = |candidate: &Candidate| {
-                candidate.fullness + candidate.failed_share + candidate.extra
+                candidate.fullness + candidate.excess_failure_rate + candidate.penalty
             };
             best(candidates.iter().map(cost).enumerate())
         }
-        Choosing::TwoDrawn if count > 1 => {
+        SelectionPolicy::TwoChoices if count > 1 => {
             let first = place(count, draw());
             let second = (first + 1 + place(count - 1, draw())) % count;
             let drawn = [first, second].map(|at| (at, candidates[at].cost()));
             best(drawn.into_iter())
         }
-        Choosing::TwoDrawn | Choosing::Best => {
+        SelectionPolicy::TwoChoices | SelectionPolicy::LowestCost => {
             let cost = |candidate: &Candidate| candidate.cost() * (1.0 + NOISE * draw());
             best(candidates.iter().map(cost).enumerate())
         }
--- a/components/policy/src/balance/choose_tests.rs
+++ b/components/policy/src/balance/choose_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::balance::pace::RoutePace;
-use crate::balance::record::CallRecord;
+use crate::balance::latency::RouteLatency;
+use crate::balance::stats::TargetStats;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -14,7 +14,7 @@
 struct Server {
     free_ms: [f64; SLOTS],
     /// Its time as a share of the usual one.
-    time_share: f64,
+    latency_ratio: f64,
     /// What it says of its load, as a share of the truth.
     told_share: f64,
     /// How slow it says that it is.
@@ -30,7 +30,7 @@
     fn new() -> Self {
         Self {
             free_ms: [0.0; SLOTS],
-            time_share: 1.0,
+            latency_ratio: 1.0,
             told_share: 1.0,
             told_percent: 100,
             hangs_from_ms: u64::MAX,
@@ -43,7 +43,7 @@
         self.served += 1;
         self.free_ms.sort_by(f64::total_cmp);
         let start = self.free_ms[0].max(now_ms as f64);
-        self.free_ms[0] = start + work_ms * self.time_share;
+        self.free_ms[0] = start + work_ms * self.latency_ratio;
         self.free_ms[0].ceil() as u64
     }
 
@@ -56,8 +56,8 @@
 /// What one box knows.
 #[derive(Clone, Default)]
 struct Entry {
-    usual: RoutePace,
-    records: Vec<CallRecord>,
+    usual: RouteLatency,
+    records: Vec<TargetStats>,
     open: Vec<u32>,
     told: Vec<(f64, u64)>,
 }
@@ -67,12 +67,12 @@
         let (told, at_ms) = self.told[at];
         let fresh = (1.0 - (now_ms - at_ms) as f64 / 1_000.0).max(0.0);
         Candidate {
-            time_share: self.records[at].time_share(now_ms),
+            latency_ratio: self.records[at].latency_ratio(now_ms),
             fullness: (told * fresh).max(f64::from(self.open[at])) / SLOTS as f64,
-            failed_share: 0.0,
-            extra: 0.0,
-            spared: self.records[at].shared.is_spared(now_ms),
-            doubted: self.records[at].shared.is_doubted(now_ms),
+            excess_failure_rate: 0.0,
+            penalty: 0.0,
+            deprioritized: self.records[at].suspicion.is_deprioritized(now_ms),
+            suspected: self.records[at].suspicion.is_suspected(now_ms),
         }
     }
 }
@@ -98,11 +98,11 @@
     }
 
     /// Plays it; the times of all calls, those that were given up counted with the limit, and the targets at its end.
-    fn play(&self, way: Choosing) -> (Vec<u64>, Vec<Server>) {
+    fn play(&self, way: SelectionPolicy) -> (Vec<u64>, Vec<Server>) {
         let mut random = ChaCha8Rng::seed_from_u64(5);
         let mut servers = self.servers.clone();
         let entry = Entry {
-            records: vec![CallRecord::default(); servers.len()],
+            records: vec![TargetStats::default(); servers.len()],
             open: vec![0; servers.len()],
             told: vec![(0.0, 0); servers.len()],
             ..Entry::default()
@@ -149,26 +149,34 @@
     let entry = &mut boxes[at];
     entry.open[to] -= 1;
     if took_ms >= LIMIT_MS {
-        let usual_ms = entry.usual.usual_ms().unwrap_or(WORK_MS);
-        entry.records[to].pace.took(took_ms as f64, usual_ms, now);
+        let usual_ms = entry.usual.baseline_ms().unwrap_or(WORK_MS);
+        entry.records[to]
+            .latency
+            .record(took_ms as f64, usual_ms, now);
         for other in boxes.iter_mut() {
-            other.records[to].shared.failed_at(at as u64, now);
+            other.records[to].suspicion.record_no_answer(at as u64, now);
         }
         return;
     }
-    entry.usual.took(took_ms as f64);
-    if let Some(usual_ms) = entry.usual.usual_ms() {
-        entry.records[to].pace.took(took_ms as f64, usual_ms, now);
+    entry.usual.record(took_ms as f64);
+    if let Some(usual_ms) = entry.usual.baseline_ms() {
+        entry.records[to]
+            .latency
+            .record(took_ms as f64, usual_ms, now);
     }
-    entry.records[to].shared.answered();
+    entry.records[to].suspicion.clear();
     entry.told[to] = (server.busy(now), now);
-    let is_news = entry.records[to].slowness.is_news(server.told_percent, now);
+    let is_news = entry.records[to]
+        .slowness
+        .is_change(server.told_percent, now);
     let told = match is_news {
         true => &mut boxes[..],
         false => std::slice::from_mut(entry),
     };
     for other in told {
-        other.records[to].slowness.told(server.told_percent, 0, now);
+        other.records[to]
+            .slowness
+            .update(server.told_percent, 0, now);
     }
 }
 
@@ -184,11 +192,11 @@
 #[test]
 fn uneven_targets_get_calls_by_their_speed() {
     let mut servers = vec![Server::new(); 6];
-    servers[0].time_share = 3.0;
-    servers[1].time_share = 2.0;
+    servers[0].latency_ratio = 3.0;
+    servers[1].latency_ratio = 2.0;
     let model = Model::of(servers);
-    let (emptiest, _) = model.play(Choosing::Emptiest);
-    let (best, _) = model.play(Choosing::Best);
+    let (emptiest, _) = model.play(SelectionPolicy::LeastLoaded);
+    let (best, _) = model.play(SelectionPolicy::LowestCost);
     assert!(mean(&best) < 0.85 * mean(&emptiest));
     assert!(slowest_of_100(best) < slowest_of_100(emptiest));
 }
@@ -196,10 +204,10 @@
 #[test]
 fn a_target_at_a_tenth_of_its_speed_is_nearly_left_alone() {
     let mut servers = vec![Server::new(); 6];
-    servers[0].time_share = 10.0;
+    servers[0].latency_ratio = 10.0;
     let model = Model::of(servers);
-    let (emptiest, before) = model.play(Choosing::Emptiest);
-    let (best, after) = model.play(Choosing::Best);
+    let (emptiest, before) = model.play(SelectionPolicy::LeastLoaded);
+    let (best, after) = model.play(SelectionPolicy::LowestCost);
     assert!(2 * after[0].served < before[0].served);
     assert!(mean(&best) < 0.8 * mean(&emptiest));
 }
@@ -211,7 +219,7 @@
     let mut model = Model::of(servers);
     model.calls_per_s = 300;
     model.seconds = 11;
-    let (_, at_end) = model.play(Choosing::Best);
+    let (_, at_end) = model.play(SelectionPolicy::LowestCost);
     // A sixth of one second's calls is 50.
     assert!((30..=110).contains(&at_end[0].served));
 }
@@ -221,10 +229,10 @@
     let mut servers = vec![Server::new(); 6];
     servers[0].told_share = 0.0;
     servers[0].told_percent = 50;
-    servers[0].time_share = 2.0;
+    servers[0].latency_ratio = 2.0;
     let model = Model::of(servers);
-    let (emptiest, before) = model.play(Choosing::Emptiest);
-    let (best, after) = model.play(Choosing::Best);
+    let (emptiest, before) = model.play(SelectionPolicy::LeastLoaded);
+    let (best, after) = model.play(SelectionPolicy::LowestCost);
     assert!(after[0].served < before[0].served);
     assert!(mean(&best) < mean(&emptiest));
 }
@@ -232,12 +240,12 @@
 #[test]
 fn a_target_that_says_that_it_is_slow_is_spared_by_boxes_that_did_not_ask_it() {
     let mut servers = vec![Server::new(); 6];
-    servers[0].time_share = 2.5;
+    servers[0].latency_ratio = 2.5;
     servers[0].told_percent = 250;
     let mut model = Model::of(servers);
     model.boxes = 60;
-    let (emptiest, before) = model.play(Choosing::Emptiest);
-    let (best, after) = model.play(Choosing::Best);
+    let (emptiest, before) = model.play(SelectionPolicy::LeastLoaded);
+    let (best, after) = model.play(SelectionPolicy::LowestCost);
     assert!(2 * after[0].served < before[0].served);
     assert!(slowest_of_100(best) < slowest_of_100(emptiest));
 }
@@ -251,7 +259,7 @@
         let (times, _) = model.play(way);
         times.iter().filter(|took| **took >= LIMIT_MS).count()
     };
-    assert!(3 * lost(Choosing::Best) < lost(Choosing::Emptiest));
+    assert!(3 * lost(SelectionPolicy::LowestCost) < lost(SelectionPolicy::LeastLoaded));
 }
 
 #[test]
@@ -263,7 +271,7 @@
     let mut model = Model::of(servers);
     model.boxes = 200;
     model.calls_per_s = 60;
-    let (times, _) = model.play(Choosing::Best);
+    let (times, _) = model.play(SelectionPolicy::LowestCost);
     let lost = times.iter().filter(|took| **took >= LIMIT_MS).count();
     // Of each target the first, and one each 3 s for 30 s.
     assert!(lost <= 6 * 11, "{lost}");
@@ -272,22 +280,22 @@
 #[test]
 fn two_that_are_drawn_are_never_the_same() {
     let empty = Candidate {
-        time_share: 1.0,
+        latency_ratio: 1.0,
         fullness: 0.0,
-        failed_share: 0.0,
-        extra: 0.0,
-        spared: false,
-        doubted: false,
+        excess_failure_rate: 0.0,
+        penalty: 0.0,
+        deprioritized: false,
+        suspected: false,
     };
-    let spared = Candidate {
-        spared: true,
+    let deprioritized = Candidate {
+        deprioritized: true,
         ..empty
     };
     for (a, b) in [(0.0, 0.0), (0.99, 0.99), (0.4, 0.6)] {
         let mut draws = [a, b].into_iter().cycle();
         let draw = || draws.next().unwrap();
         assert_eq!(
-            choose_target(Choosing::TwoDrawn, &[spared, empty], draw),
+            choose_target(SelectionPolicy::TwoChoices, &[deprioritized, empty], draw),
             Some(1)
         );
     }
@@ -295,5 +303,8 @@
 
 #[test]
 fn nothing_is_chosen_of_nothing() {
-    assert_eq!(choose_target(Choosing::Best, &[], || 0.5), None);
+    assert_eq!(
+        choose_target(SelectionPolicy::LowestCost, &[], || 0.5),
+        None
+    );
 }
--- a/components/policy/src/balance/doubt.rs
+++ b/components/policy/src/balance/failures.rs
@@ -25,75 +25,75 @@
 
 /// Share of failures among the answers of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FailedShare {
+pub struct FailureRate {
     share: f64,
     seen: u32,
 }
 
-impl FailedShare {
+impl FailureRate {
     /// Notes an answer.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record(&mut self, failed: bool) {
         self.seen = self.seen.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(self.seen));
         self.share += weight * (f64::from(u8::from(failed)) - self.share);
     }
 
     /// The share; none before enough is seen.
-    pub fn known(&self) -> Option<f64> {
+    pub fn rate(&self) -> Option<f64> {
         (self.seen >= SEEN_MIN).then_some(self.share)
     }
 
     /// Whether a failure is nothing new for this route, so that it is no sign against the target that answered.
     pub fn is_common(&self) -> bool {
-        self.known().is_some_and(|share| share >= COMMON_SHARE)
+        self.rate().is_some_and(|share| share >= COMMON_SHARE)
     }
 }
 
 /// Failures of one target, by route.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RouteDoubts(VecDeque<(u64, FailedShare)>);
+pub struct RouteFailures(VecDeque<(u64, FailureRate)>);
 
-impl RouteDoubts {
+impl RouteFailures {
     /// Notes an answer to a call of a route.
-    pub fn answered(&mut self, route: u64, failed: bool) {
+    pub fn record(&mut self, route: u64, failed: bool) {
         let at = self.0.iter().position(|(key, _)| *key == route);
         let (_, mut share) = at
             .and_then(|at| self.0.remove(at))
-            .unwrap_or((route, FailedShare::default()));
-        share.answered(failed);
+            .unwrap_or((route, FailureRate::default()));
+        share.record(failed);
         self.0.push_front((route, share));
         self.0.truncate(ROUTES_MAX);
     }
 
     /// By how much more often the target fails a route than all targets do.
-    pub fn excess(&self, route: u64, usual: FailedShare) -> f64 {
+    pub fn excess(&self, route: u64, usual: FailureRate) -> f64 {
         let Some((_, here)) = self.0.iter().find(|(key, _)| *key == route) else {
             return 0.0;
         };
-        let usual = usual.known().unwrap_or(0.0);
+        let usual = usual.rate().unwrap_or(0.0);
         let seen = f64::from(here.seen.min(HELD_ANSWERS));
         let share = (here.share * seen + usual * PRIOR_ANSWERS) / (seen + PRIOR_ANSWERS);
         (share - usual).max(0.0)
     }
 
     /// Each route with its share of failures.
-    pub fn shares(&self) -> impl Iterator<Item = (u64, f64)> {
+    pub fn rates(&self) -> impl Iterator<Item = (u64, f64)> {
         self.0
             .iter()
-            .filter_map(|(key, share)| Some((*key, share.known()?)))
+            .filter_map(|(key, share)| Some((*key, share.rate()?)))
     }
 }
 
 /// That boxes got no answer from a target. One box may have a bad link of its own; two have not, by chance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SharedDoubt {
+pub struct SharedSuspicion {
     last: Option<(u64, u64)>,
     spared_until_ms: u64,
 }
 
-impl SharedDoubt {
+impl SharedSuspicion {
     /// Notes that a box, this one or another, got no answer.
-    pub fn failed_at(&mut self, source: u64, now_ms: u64) {
+    pub fn record_no_answer(&mut self, source: u64, now_ms: u64) {
         let by_another = self
             .last
             .is_some_and(|(box_, at_ms)| box_ != source && now_ms < at_ms + TOGETHER_MS);
@@ -105,22 +105,22 @@
     }
 
     /// Notes an answer that this box got: it outweighs what others said before.
-    pub fn answered(&mut self) {
+    pub fn clear(&mut self) {
         *self = Self::default();
     }
 
     /// Whether a box got no answer lately: that box's link may be bad, or the target.
-    pub fn is_doubted(&self, now_ms: u64) -> bool {
+    pub fn is_suspected(&self, now_ms: u64) -> bool {
         self.last
             .is_some_and(|(_, at_ms)| now_ms < at_ms + REMEMBERED_MS)
     }
 
     /// Whether calls go elsewhere, where they can.
-    pub fn is_spared(&self, now_ms: u64) -> bool {
+    pub fn is_deprioritized(&self, now_ms: u64) -> bool {
         now_ms < self.spared_until_ms
     }
 }
 
 #[cfg(test)]
-#[path = "doubt_tests.rs"]
+#[path = "failures_tests.rs"]
 mod tests;
--- a/components/policy/src/balance/hedge.rs
+++ b/components/policy/src/balance/hedge.rs
@@ -8,13 +8,13 @@
 const GOAL_SHARE: f64 = 0.8;
 
 /// How long one target is waited for alone, given the goal and the route's usual time where it is known.
-pub fn hedge_delay_ms(goal_ms: u64, usual_ms: Option<f64>) -> u64 {
+pub fn hedge_delay_ms(goal_ms: u64, baseline_ms: Option<f64>) -> u64 {
     let most_ms = goal_ms as f64 * GOAL_SHARE;
-    let Some(usual_ms) = usual_ms else {
+    let Some(baseline_ms) = baseline_ms else {
         return most_ms as u64;
     };
-    let in_time_ms = goal_ms as f64 - SECOND_TIMES * usual_ms;
-    let late_ms = LATE_TIMES * usual_ms;
+    let in_time_ms = goal_ms as f64 - SECOND_TIMES * baseline_ms;
+    let late_ms = LATE_TIMES * baseline_ms;
     in_time_ms.max(late_ms).clamp(1.0, most_ms.max(1.0)) as u64
 }
 
--- a/components/policy/src/balance/hints.rs
+++ b/components/policy/src/balance/hints.rs
@@ -20,7 +20,7 @@
 
 impl HintBudget {
     /// Takes one word, where a box among `boxes` has one left.
-    pub fn take(&mut self, boxes: usize, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, boxes: usize, now_ms: u64) -> bool {
         let own_rate = WORDS_PER_S / boxes.max(1) as f64;
         self.0.refill(own_rate, SAVED_MAX, now_ms);
         self.0.take()
--- a/components/policy/src/balance/hints_tests.rs
+++ b/components/policy/src/balance/hints_tests.rs
@@ -7,7 +7,7 @@
         let mut sent = 0;
         for now_ms in 0..10_000 {
             for budget in &mut budgets {
-                sent += usize::from(budget.take(boxes, now_ms));
+                sent += usize::from(budget.try_take(boxes, now_ms));
             }
         }
         assert!(
@@ -20,6 +20,6 @@
 #[test]
 fn a_box_that_was_quiet_sends_two_words_at_once() {
     let mut budget = HintBudget::default();
-    let sent = (0..10).filter(|_| budget.take(100, 60_000)).count();
+    let sent = (0..10).filter(|_| budget.try_take(100, 60_000)).count();
     assert_eq!(sent, 2);
 }
--- a/components/policy/src/balance/pace.rs
+++ b/components/policy/src/balance/latency.rs
@@ -15,21 +15,21 @@
 
 /// The usual time of a route's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RoutePace {
+pub struct RouteLatency {
     mean_ms: f64,
     seen: u32,
 }
 
-impl RoutePace {
+impl RouteLatency {
     /// Notes how long a call took.
-    pub fn took(&mut self, took_ms: f64) {
+    pub fn record(&mut self, took_ms: f64) {
         self.seen = self.seen.saturating_add(1);
         let weight = ROUTE_WEIGHT.max(1.0 / f64::from(self.seen));
         self.mean_ms += weight * (took_ms - self.mean_ms);
     }
 
     /// The mean; none before enough is seen.
-    pub fn usual_ms(&self) -> Option<f64> {
+    pub fn baseline_ms(&self) -> Option<f64> {
         let is_known = self.seen >= ROUTE_SEEN_MIN && self.mean_ms > 0.0;
         is_known.then_some(self.mean_ms)
     }
@@ -37,34 +37,34 @@
 
 /// How long one target takes beside what is usual: 2 is half as fast.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TargetPace {
+pub struct TargetLatency {
     sum: f64,
     answers: f64,
     at_ms: u64,
 }
 
-impl TargetPace {
+impl TargetLatency {
     fn kept(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         0.5_f64.powf(age_ms / HALF_LIFE_MS)
     }
 
     /// Notes how long a call took, or how long it has gone on without an answer.
-    pub fn took(&mut self, took_ms: f64, usual_ms: f64, now_ms: u64) {
+    pub fn record(&mut self, took_ms: f64, baseline_ms: f64, now_ms: u64) {
         let kept = self.kept(now_ms);
-        let share = (took_ms / usual_ms.max(1.0)).clamp(SHARE_MIN, SHARE_MAX);
+        let share = (took_ms / baseline_ms.max(1.0)).clamp(SHARE_MIN, SHARE_MAX);
         self.sum = self.sum * kept + share;
         self.answers = self.answers * kept + 1.0;
         self.at_ms = now_ms;
     }
 
     /// Its time as a share of the usual one, near 1 where little was seen lately.
-    pub fn share(&self, now_ms: u64) -> f64 {
+    pub fn ratio(&self, now_ms: u64) -> f64 {
         let kept = self.kept(now_ms);
         (self.sum * kept + PRIOR_ANSWERS) / (self.answers * kept + PRIOR_ANSWERS)
     }
 }
 
 #[cfg(test)]
-#[path = "pace_tests.rs"]
+#[path = "latency_tests.rs"]
 mod tests;
--- a/components/policy/src/balance/limit.rs
+++ b/components/policy/src/balance/limit.rs
@@ -10,48 +10,48 @@
 
 /// The bound of one box at one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallLimit {
-    most: f64,
+pub struct ConcurrencyLimit {
+    max_calls: f64,
     cut_ms: Option<u64>,
 }
 
-impl Default for CallLimit {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            most: MOST,
+            max_calls: MOST,
             cut_ms: None,
         }
     }
 }
 
-impl CallLimit {
+impl ConcurrencyLimit {
     /// Notes that the target refused a call as full, with so many others of this box there.
-    pub fn refused(&mut self, open: u32, now_ms: u64) {
+    pub fn record_refusal(&mut self, open: u32, now_ms: u64) {
         if self
             .cut_ms
             .is_some_and(|cut_ms| now_ms < cut_ms + ONE_WORD_MS)
         {
             return;
         }
-        self.most = (self.most.min(f64::from(open)) * KEPT_SHARE).max(1.0);
+        self.max_calls = (self.max_calls.min(f64::from(open)) * KEPT_SHARE).max(1.0);
         self.cut_ms = Some(now_ms);
     }
 
     /// Notes an answer, with so many calls of this box there: the bound rises only where it was reached.
-    pub fn answered(&mut self, open: u32) {
-        if f64::from(open) + 1.0 >= self.most {
-            self.most = (self.most + 1.0 / self.most).min(MOST);
+    pub fn record_answer(&mut self, open: u32) {
+        if f64::from(open) + 1.0 >= self.max_calls {
+            self.max_calls = (self.max_calls + 1.0 / self.max_calls).min(MOST);
         }
     }
 
     /// Whether one more call goes there.
     pub fn has_room(&self, open: u32) -> bool {
-        f64::from(open) + 1.0 <= self.most
+        f64::from(open) + 1.0 <= self.max_calls
     }
 
     /// The bound; none where nothing was refused yet.
-    pub fn most(&self) -> Option<f64> {
-        self.cut_ms.map(|_| self.most)
+    pub fn max_calls(&self) -> Option<f64> {
+        self.cut_ms.map(|_| self.max_calls)
     }
 }
 
--- a/components/policy/src/balance/limit_tests.rs
+++ b/components/policy/src/balance/limit_tests.rs
@@ -7,7 +7,7 @@
 /// limits lets calls wait while the target is full; one without sends them, as it has no other target. The shares of
 /// calls refused, and of the room used, after the first second.
 fn play(boxes: usize, room: u32, limited: bool) -> (f64, f64) {
-    let mut limits = vec![CallLimit::default(); boxes];
+    let mut limits = vec![ConcurrencyLimit::default(); boxes];
     let mut full_until_ms = vec![0; boxes];
     let mut ends: Vec<Vec<u64>> = vec![Vec::new(); boxes];
     let (mut sent, mut refused, mut used, mut looks) = (0, 0, 0, 0);
@@ -17,7 +17,7 @@
             let over = ends[at].iter().filter(|end| **end <= now_ms).count() as u32;
             ends[at].retain(|end| *end > now_ms);
             for left in 0..over {
-                limits[at].answered(open - left - 1);
+                limits[at].record_answer(open - left - 1);
             }
         }
         let at = now_ms as usize % boxes;
@@ -33,7 +33,7 @@
         sent += u32::from(counts);
         if all as u32 >= room {
             refused += u32::from(counts);
-            limits[at].refused(open, now_ms);
+            limits[at].record_refusal(open, now_ms);
             full_until_ms[at] = now_ms + FULL_MS;
             continue;
         }
@@ -54,16 +54,16 @@
 
 #[test]
 fn nothing_is_bounded_before_a_refusal() {
-    let limit = CallLimit::default();
+    let limit = ConcurrencyLimit::default();
     assert!(limit.has_room(200));
-    assert_eq!(limit.most(), None);
+    assert_eq!(limit.max_calls(), None);
 }
 
 #[test]
 fn one_call_always_has_room() {
-    let mut limit = CallLimit::default();
+    let mut limit = ConcurrencyLimit::default();
     for at in 0..50 {
-        limit.refused(0, at * 200);
+        limit.record_refusal(0, at * 200);
     }
     assert!(limit.has_room(0));
     assert!(!limit.has_room(1));
@@ -71,9 +71,9 @@
 
 #[test]
 fn refusals_of_calls_sent_together_are_one_word() {
-    let mut limit = CallLimit::default();
+    let mut limit = ConcurrencyLimit::default();
     for _ in 0..10 {
-        limit.refused(20, 1_000);
+        limit.record_refusal(20, 1_000);
     }
-    assert_eq!(limit.most(), Some(17.0));
+    assert_eq!(limit.max_calls(), Some(17.0));
 }
--- a/components/policy/src/balance/mod.rs
+++ b/components/policy/src/balance/mod.rs
@@ -2,10 +2,10 @@
 //! slow it is right now, and of what it fails; and which target a call goes to.
 
 pub(crate) mod choose;
-pub(crate) mod doubt;
+pub(crate) mod failures;
 pub(crate) mod hedge;
 pub(crate) mod hints;
+pub(crate) mod latency;
 pub(crate) mod limit;
-pub(crate) mod pace;
-pub(crate) mod record;
 pub(crate) mod slowness;
+pub(crate) mod stats;
--- a/components/policy/src/balance/slowness.rs
+++ b/components/policy/src/balance/slowness.rs
@@ -16,7 +16,7 @@
 
 impl Slowness {
     /// Takes a word in that is `age_ms` old. An older one than is known changes nothing.
-    pub fn told(&mut self, percent: u32, age_ms: u64, now_ms: u64) {
+    pub fn update(&mut self, percent: u32, age_ms: u64, now_ms: u64) {
         let at_ms = now_ms.saturating_sub(age_ms);
         if at_ms >= self.at_ms {
             *self = Self { percent, at_ms };
@@ -24,7 +24,7 @@
     }
 
     /// Whether a word differs from what is believed, so that other boxes gain by it.
-    pub fn is_news(&self, percent: u32, now_ms: u64) -> bool {
+    pub fn is_change(&self, percent: u32, now_ms: u64) -> bool {
         (percent >= SLOW_PERCENT) != self.is_slow(now_ms)
     }
 
@@ -35,7 +35,7 @@
 
     /// What its calls take, as a share of the usual time. Never below 1: that a target is faster has to be seen, as
     /// one that says so falsely would draw all calls.
-    pub fn share(&self, now_ms: u64) -> f64 {
+    pub fn latency_ratio(&self, now_ms: u64) -> f64 {
         match self.is_slow(now_ms) {
             true => f64::from(self.percent.min(PERCENT_MAX)) / 100.0,
             false => 1.0,
--- a/components/policy/src/balance/record.rs
+++ b/components/policy/src/balance/stats.rs
@@ -1,39 +1,39 @@
 //! All that a box knows of one target for plain calls.
 
-use crate::balance::doubt::{FailedShare, RouteDoubts, SharedDoubt};
-use crate::balance::limit::CallLimit;
-use crate::balance::pace::{RoutePace, TargetPace};
+use crate::balance::failures::{FailureRate, RouteFailures, SharedSuspicion};
+use crate::balance::latency::{RouteLatency, TargetLatency};
+use crate::balance::limit::ConcurrencyLimit;
 use crate::balance::slowness::Slowness;
 
 /// What all targets do with the calls of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RouteRecord {
+pub struct RouteStats {
     /// Their usual time.
-    pub pace: RoutePace,
+    pub latency: RouteLatency,
     /// How often they fail.
-    pub failed: FailedShare,
+    pub failures: FailureRate,
 }
 
 /// What is known of one life of a target.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallRecord {
+pub struct TargetStats {
     /// How fast it is beside the others.
-    pub pace: TargetPace,
+    pub latency: TargetLatency,
     /// How slow it is right now.
     pub slowness: Slowness,
     /// What it fails, by route.
-    pub routes: RouteDoubts,
+    pub route_failures: RouteFailures,
     /// How many calls of this box it bears at once.
-    pub limit: CallLimit,
+    pub limit: ConcurrencyLimit,
     /// That boxes got no answer.
-    pub shared: SharedDoubt,
+    pub suspicion: SharedSuspicion,
 }
 
-impl CallRecord {
+impl TargetStats {
     /// The time of a call, as a share of the usual time at an empty target, as far as it depends on the target alone.
-    pub fn time_share(&self, now_ms: u64) -> f64 {
-        let seen = self.pace.share(now_ms);
+    pub fn latency_ratio(&self, now_ms: u64) -> f64 {
+        let seen = self.latency.ratio(now_ms);
         // Not their product: the answers that were seen already hold a part of the slowness that it tells now.
-        seen.max(self.slowness.share(now_ms))
+        seen.max(self.slowness.latency_ratio(now_ms))
     }
 }
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -3,7 +3,7 @@
 
 use crate::state::Relay;
 use crate::watch::targets::{COLD_SHARE, ColdRate, FAR_SHARE, Target, TargetBook, TargetSlot};
-use policy::{CallRecord, Candidate, Choosing, HintBudget, RouteRecord, choose_target};
+use policy::{Candidate, HintBudget, RouteStats, SelectionPolicy, TargetStats, choose_target};
 use rand::seq::IndexedRandom;
 use routing::Route;
 use settings::Mechanism;
@@ -37,8 +37,8 @@
 /// What a box knows of plain targets. All of it is soft.
 #[derive(Debug, Default)]
 pub(crate) struct CallBalance {
-    records: SecondaryMap<TargetSlot, CallRecord>,
-    routes: HashMap<u64, RouteRecord>,
+    records: SecondaryMap<TargetSlot, TargetStats>,
+    routes: HashMap<u64, RouteStats>,
     services: HashMap<Box<str>, ServiceTargets>,
     pub(crate) hints: HintBudget,
 }
@@ -50,17 +50,17 @@
 
 impl CallBalance {
     /// What is known of a target.
-    pub(crate) fn record(&mut self, slot: TargetSlot) -> Option<&mut CallRecord> {
+    pub(crate) fn record(&mut self, slot: TargetSlot) -> Option<&mut TargetStats> {
         Some(self.records.entry(slot)?.or_default())
     }
 
     /// What is known of a target, where anything is.
-    pub(crate) fn known(&self, slot: TargetSlot) -> Option<&CallRecord> {
+    pub(crate) fn known(&self, slot: TargetSlot) -> Option<&TargetStats> {
         self.records.get(slot)
     }
 
     /// What is known of a route.
-    pub(crate) fn route(&mut self, key: u64) -> &mut RouteRecord {
+    pub(crate) fn route(&mut self, key: u64) -> &mut RouteStats {
         if self.routes.len() >= ROUTES_MAX && !self.routes.contains_key(&key) {
             self.routes.clear();
         }
@@ -115,20 +115,20 @@
         asked: &Asked,
     ) -> Candidate {
         let now_ms = relay.now_ms();
-        let of_route = |record: &CallRecord| {
+        let of_route = |record: &TargetStats| {
             let usual = self.routes.get(&asked.route).copied().unwrap_or_default();
-            record.routes.excess(asked.route, usual.failed)
+            record.route_failures.excess(asked.route, usual.failures)
         };
         let known = self.known(slot);
         let far = f64::from(u8::from(target.data_centre != relay.data_centre)) * FAR_SHARE;
         let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
         Candidate {
-            time_share: known.map_or(1.0, |record| record.time_share(now_ms)),
+            latency_ratio: known.map_or(1.0, |record| record.latency_ratio(now_ms)),
             fullness: target.fullness(now_ms),
-            failed_share: target.suspicion.failed_share() + known.map_or(0.0, of_route),
-            extra: far + cold,
-            spared: known.is_some_and(|record| record.shared.is_spared(now_ms)),
-            doubted: known.is_some_and(|record| record.shared.is_doubted(now_ms)),
+            excess_failure_rate: target.suspicion.failed_share() + known.map_or(0.0, of_route),
+            penalty: far + cold,
+            deprioritized: known.is_some_and(|record| record.suspicion.is_deprioritized(now_ms)),
+            suspected: known.is_some_and(|record| record.suspicion.is_suspected(now_ms)),
         }
     }
 }
@@ -234,7 +234,7 @@
         .filter(|(against, ..)| *against == least)
         .collect();
     let candidates: Vec<Candidate> = equal.iter().map(|(.., candidate)| *candidate).collect();
-    let at = choose_target(Choosing::Best, &candidates, rand::random)?;
+    let at = choose_target(SelectionPolicy::LowestCost, &candidates, rand::random)?;
     let (_, slot, chosen) = equal[at];
     metrics::histogram!("shuntpier_call_expected_share").record(chosen.cost());
     Some(*slot)
--- a/components/relay/src/forwarding/call_records.rs
+++ b/components/relay/src/forwarding/call_records.rs
@@ -4,7 +4,7 @@
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use peers::HintWord;
-use policy::{CallRecord, hedge_delay_ms};
+use policy::{TargetStats, hedge_delay_ms};
 use prelude::BoxId;
 use routing::Route;
 use settings::Mechanism;
@@ -24,28 +24,30 @@
         let key = route_key(route);
         let mut balance = self.balance.borrow_mut();
         let of_route = balance.route(key);
-        of_route.failed.answered(failed);
+        of_route.failures.record(failed);
         if !failed {
-            of_route.pace.took(took_ms as f64);
+            of_route.latency.record(took_ms as f64);
         }
-        let usual_ms = of_route.pace.usual_ms();
+        let usual_ms = of_route.latency.baseline_ms();
         let Some(record) = balance.record(slot) else {
             return;
         };
-        record.routes.answered(key, failed);
-        record.shared.answered();
-        record.limit.answered(open);
+        record.route_failures.record(key, failed);
+        record.suspicion.clear();
+        record.limit.record_answer(open);
         if let Some(usual_ms) = usual_ms.filter(|_| !failed) {
-            record.pace.took(took_ms as f64, usual_ms, now_ms);
+            record.latency.record(took_ms as f64, usual_ms, now_ms);
         }
     }
 
     /// Notes that a target has not answered for so long, while another did.
     pub(crate) fn call_outrun(&self, slot: TargetSlot, route: &Route, waited_ms: u64) {
         let mut balance = self.balance.borrow_mut();
-        let usual_ms = balance.route(route_key(route)).pace.usual_ms();
+        let usual_ms = balance.route(route_key(route)).latency.baseline_ms();
         if let (Some(usual_ms), Some(record)) = (usual_ms, balance.record(slot)) {
-            record.pace.took(waited_ms as f64, usual_ms, self.now_ms());
+            record
+                .latency
+                .record(waited_ms as f64, usual_ms, self.now_ms());
         }
     }
 
@@ -58,14 +60,14 @@
     /// Notes how slow a target says that it is, and tells others where that is news.
     pub(crate) fn call_slowness(self: &Rc<Self>, slot: TargetSlot, percent: u32) {
         let now_ms = self.now_ms();
-        let known = |record: &CallRecord| record.slowness;
+        let known = |record: &TargetStats| record.slowness;
         let before = self
             .balance
             .borrow()
             .known(slot)
             .map_or_else(Default::default, known);
         self.took_hint(slot, self.id, HintWord::Slowness(percent));
-        if before.is_news(percent, now_ms) {
+        if before.is_change(percent, now_ms) {
             self.tell_hint(slot, HintWord::Slowness(percent));
         }
     }
@@ -78,11 +80,11 @@
             return;
         };
         match word {
-            HintWord::Slowness(percent) => record.slowness.told(percent, 0, now_ms),
+            HintWord::Slowness(percent) => record.slowness.update(percent, 0, now_ms),
             HintWord::NoAnswer | HintWord::TurnedAway => {
-                let before = record.shared.is_spared(now_ms);
-                record.shared.failed_at(from.0.into(), now_ms);
-                if record.shared.is_spared(now_ms) && !before {
+                let before = record.suspicion.is_deprioritized(now_ms);
+                record.suspicion.record_no_answer(from.0.into(), now_ms);
+                if record.suspicion.is_deprioritized(now_ms) && !before {
                     slog::info!(self.log, "target spared: boxes got no answer, or were turned away";
                         "target" => self.name_of(slot), "from" => from.0);
                 }
@@ -96,7 +98,7 @@
             .balance
             .borrow_mut()
             .route(route_key(route))
-            .failed
+            .failures
             .is_common();
         is_common && self.file().has(Mechanism::CallBalance)
     }
@@ -106,8 +108,8 @@
         self.balance
             .borrow_mut()
             .route(route_key(route))
-            .pace
-            .usual_ms()
+            .latency
+            .baseline_ms()
     }
 
     fn open_at(&self, slot: TargetSlot) -> u32 {
@@ -123,9 +125,9 @@
         }
         let now_ms = self.now_ms();
         if let Some(record) = self.balance.borrow_mut().record(slot) {
-            record.limit.refused(open, now_ms);
+            record.limit.record_refusal(open, now_ms);
             slog::info!(self.log, "target full"; "target" => self.name_of(slot), "open" => open,
-                "limit" => record.limit.most());
+                "limit" => record.limit.max_calls());
         }
     }
 
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -28,7 +28,11 @@
             .into_iter()
             .filter(|(_, data_centre)| *data_centre == self.data_centre)
             .collect();
-        let taken = self.balance.borrow_mut().hints.take(near.len() + 1, now_ms);
+        let taken = self
+            .balance
+            .borrow_mut()
+            .hints
+            .try_take(near.len() + 1, now_ms);
         let outcome = match taken {
             true => "sent",
             false => "withheld",
--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -59,7 +59,7 @@
         while !self.rate_limits.pending.borrow().is_empty() {
             let boxes = self.members.borrow().budget_share();
             let now_ms = self.now_ms();
-            let may_send = self.rate_limits.budget.borrow_mut().take(boxes, now_ms);
+            let may_send = self.rate_limits.budget.borrow_mut().try_take(boxes, now_ms);
             if !may_send {
                 sleep(WITHHELD_FOR).await;
                 continue;
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -5,7 +5,7 @@
 use crate::watch::targets::TargetSlot;
 use crate::watch::targets::{Belief, Target, TargetBook};
 use operators::{EvacuationView, FleetTargetView, FleetView, TargetCallsView, TargetPaceView};
-use policy::CallRecord;
+use policy::TargetStats;
 
 fn state_of(targets: &TargetBook, target: &Target) -> &'static str {
     match target.belief {
@@ -99,25 +99,25 @@
         let record = balance.known(slot)?;
         let now_ms = self.now_ms();
         Some(TargetCallsView {
-            pace_share: record.pace.share(now_ms),
-            slowness_share: record.slowness.share(now_ms),
+            pace_share: record.latency.ratio(now_ms),
+            slowness_share: record.slowness.latency_ratio(now_ms),
             fullness: target.fullness(now_ms),
-            limit: record.limit.most(),
-            spared: record.shared.is_spared(now_ms),
-            doubted: record.shared.is_doubted(now_ms),
+            limit: record.limit.max_calls(),
+            spared: record.suspicion.is_deprioritized(now_ms),
+            doubted: record.suspicion.is_suspected(now_ms),
             passed_over: target.suspicion.is_passed_over(now_ms),
             failed_by_route: self.failed_by_route(record),
         })
     }
 
     /// Shares of failures, with the names of the routes that are still declared.
-    fn failed_by_route(&self, record: &CallRecord) -> Vec<(String, f64)> {
+    fn failed_by_route(&self, record: &TargetStats) -> Vec<(String, f64)> {
         let Some(declared) = self.declared() else {
             return Vec::new();
         };
         let routes = &declared.table.routes;
         let name = |key: u64| routes.iter().find(|route| route_key(route) == key);
         let share = |(key, share): (u64, f64)| Some((name(key)?.name.to_string(), share));
-        record.routes.shares().filter_map(share).collect()
+        record.route_failures.rates().filter_map(share).collect()
     }
 }
