--- a/components/policy/src/balance/choose.rs
+++ b/components/policy/src/balance/choose.rs
@@ -1,84 +1,88 @@
-//! Which target a call goes to.
+//! Selection of the target for a call.
 
-/// What is added to the cost of a spared target, in usual times: more than any pace or queue adds.
-const SPARED_COST: f64 = 8.0;
-/// What is added to the cost of a target of which one box got no answer: calls go to others that are as near and have room,
-/// so that those that hang are found by one call and not by one for each box.
-const DOUBTED_COST: f64 = 0.25;
-/// Each cost is raised by a random share of up to this: boxes that know the same would otherwise all go to the same target.
+/// Cost added to a deprioritized target, in multiples of the baseline latency: more than latency or queueing ever adds.
+const DEPRIORITIZED_COST: f64 = 8.0;
+/// Cost added to a suspected target, from which one box got no answer. Other boxes prefer targets that are as near and
+/// have room, so that a hung target costs one call in all and not one call for each box.
+const SUSPECTED_COST: f64 = 0.25;
+/// Each cost is raised by a random share of up to this. Boxes with equal statistics would otherwise all choose the same
+/// target.
 const NOISE: f64 = 0.15;
 
 /// A target that a call may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its call's time as a share of the usual one, without a queue.
+    /// Expected latency relative to the baseline, without queueing.
     pub latency_ratio: f64,
-    /// How full it is, as a share of its slots.
+    /// Slots in use, as a share of all its slots.
     pub fullness: f64,
-    /// How often it fails, beyond what the route fails everywhere.
+    /// Its failure rate in excess of the route's failure rate over all targets.
     pub excess_failure_rate: f64,
-    /// What speaks against it otherwise: it is far, or cold.
+    /// Added cost of a target that is cold or in another data centre.
     pub penalty: f64,
-    /// Whether other boxes say that it does not answer.
+    /// Whether several boxes got no answer from it.
     pub deprioritized: bool,
-    /// Whether one box, this one or another, got no answer of it lately.
+    /// Whether any box, this one or another, got no answer from it lately.
     pub suspected: bool,
 }
 
 impl Candidate {
-    /// The call's expected time there, in usual times, with what speaks against the target added.
+    /// Expected latency of the call there, in multiples of the baseline, plus all penalties.
     pub fn cost(&self) -> f64 {
-        let deprioritized = f64::from(u8::from(self.deprioritized)) * SPARED_COST;
-        let suspected = f64::from(u8::from(self.suspected)) * DOUBTED_COST;
-        let against = self.excess_failure_rate + self.penalty + deprioritized + suspected;
-        self.latency_ratio * (1.0 + self.fullness) + against
+        let deprioritized = f64::from(u8::from(self.deprioritized)) * DEPRIORITIZED_COST;
+        let suspected = f64::from(u8::from(self.suspected)) * SUSPECTED_COST;
+        let penalties = self.excess_failure_rate + self.penalty + deprioritized + suspected;
+        self.latency_ratio * (1.0 + self.fullness) + penalties
     }
 }
 
-/// A way to choose.
+/// How a target is selected among candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// The emptiest by this box's own requests and the target's last word: nothing else counts.
+    /// The least loaded, by this box's own requests and the target's last load report. Latency and suspicion don't count.
     LeastLoaded,
-    /// The better of two that are drawn.
+    /// The cheaper of two that are picked at random (power of two choices).
     TwoChoices,
-    /// The best of all that are given, with random noise on the costs.
+    /// The cheapest of all candidates, with random noise on their costs.
     LowestCost,
 }
 
-/// The place of the chosen one among `candidates`. `draw` gives uniform random numbers between 0 and 1.
+/// Index of the selected target in `candidates`; none if there are no candidates. `random` returns uniform random numbers
+/// between 0 and 1.
 pub fn choose_target(
-    way: SelectionPolicy,
+    policy: SelectionPolicy,
     candidates: &[Candidate],
-    mut draw: impl FnMut() -> f64,
+    mut random: impl FnMut() -> f64,
 ) -> Option<usize> {
     let count = candidates.len();
-    match way {
+    match policy {
         SelectionPolicy::LeastLoaded => {
             let cost = |candidate: &Candidate| {
                 candidate.fullness + candidate.excess_failure_rate + candidate.penalty
             };
-            best(candidates.iter().map(cost).enumerate())
+            cheapest(candidates.iter().map(cost).enumerate())
         }
         SelectionPolicy::TwoChoices if count > 1 => {
-            let first = place(count, draw());
-            let second = (first + 1 + place(count - 1, draw())) % count;
-            let drawn = [first, second].map(|at| (at, candidates[at].cost()));
-            best(drawn.into_iter())
+            let first = random_index(count, random());
+            let second = (first + 1 + random_index(count - 1, random())) % count;
+            let pair = [first, second].map(|index| (index, candidates[index].cost()));
+            cheapest(pair.into_iter())
         }
         SelectionPolicy::TwoChoices | SelectionPolicy::LowestCost => {
-            let cost = |candidate: &Candidate| candidate.cost() * (1.0 + NOISE * draw());
-            best(candidates.iter().map(cost).enumerate())
+            let cost = |candidate: &Candidate| candidate.cost() * (1.0 + NOISE * random());
+            cheapest(candidates.iter().map(cost).enumerate())
         }
     }
 }
 
-fn best(costs: impl Iterator<Item = (usize, f64)>) -> Option<usize> {
-    costs.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
+fn cheapest(costs: impl Iterator<Item = (usize, f64)>) -> Option<usize> {
+    costs
+        .min_by(|a, b| a.1.total_cmp(&b.1))
+        .map(|(index, _)| index)
 }
 
-fn place(count: usize, draw: f64) -> usize {
-    ((count as f64 * draw) as usize).min(count - 1)
+fn random_index(count: usize, random: f64) -> usize {
+    ((count as f64 * random) as usize).min(count - 1)
 }
 
 #[cfg(test)]
--- a/components/policy/src/balance/failures.rs
+++ b/components/policy/src/balance/failures.rs
@@ -1,123 +1,126 @@
-//! What a target fails: one route more than other targets do, or, as other boxes say, everything.
+//! Failures of targets: routes that a target fails more often than other targets do, and targets from which several boxes
+//! got no answer.
 
 use std::collections::VecDeque;
 
-/// Weight of one answer in a share of failures.
-const WEIGHT: f64 = 0.1;
-/// Answers after which a share of failures is known.
-const SEEN_MIN: u32 = 6;
-/// Answers that count as given with the share of failures of all targets, before any is seen: a prior, as one failure is
+/// Weight of one answer in an exponentially weighted failure rate.
+const ANSWER_WEIGHT: f64 = 0.1;
+/// Answers after which a failure rate counts as known.
+const MIN_ANSWERS: u32 = 6;
+/// Weight, in answers, of the route's failure rate over all targets as a prior for one target: a single failure may be
 /// chance.
 const PRIOR_ANSWERS: f64 = 4.0;
-/// Answers that a share holds: what is older has faded.
-const HELD_ANSWERS: u32 = 10;
-/// A route that fails this often everywhere says nothing of a target by one more failure.
-const COMMON_SHARE: f64 = 0.04;
-/// Routes that are kept apart at one target: the latest.
-const ROUTES_MAX: usize = 8;
-/// Two boxes that get no answer from a target within this time are not taken for chance.
-const TOGETHER_MS: u64 = 2_000;
-/// How long a target is spared after two boxes got no answer.
-const SPARED_MS: u64 = 1_000;
-/// How long after that one more failure, of any box, is enough to spare it again; and how long one box's word has others
-/// rather use other targets that have room.
-const REMEMBERED_MS: u64 = 4_000;
-
-/// Share of failures among the answers of a route.
+/// Largest weight, in answers, of a target's own failure rate against the prior: older answers have decayed.
+const MAX_ANSWERS: u32 = 10;
+/// If a route fails this often over all targets, one more failure says nothing about the target.
+const COMMON_FAILURE_RATE: f64 = 0.04;
+/// Routes tracked for each target, the most recently used ones.
+const MAX_ROUTES: usize = 8;
+/// Two boxes that get no answer from a target within this time are not taken for a coincidence.
+const CORROBORATION_MS: u64 = 2_000;
+/// How long a target is deprioritized after two boxes got no answer from it.
+const DEPRIORITIZED_MS: u64 = 1_000;
+/// How long after a deprioritization one more unanswered call of any box is enough to deprioritize the target again. Also
+/// how long a target stays suspected after an unanswered call of one box, so that others prefer targets that have room.
+const MEMORY_MS: u64 = 4_000;
+
+/// Exponentially weighted failure rate of a route's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FailureRate {
-    share: f64,
-    seen: u32,
+    rate: f64,
+    answers: u32,
 }
 
 impl FailureRate {
-    /// Notes an answer.
+    /// Records an answer.
     pub fn record(&mut self, failed: bool) {
-        self.seen = self.seen.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.seen));
-        self.share += weight * (f64::from(u8::from(failed)) - self.share);
+        self.answers = self.answers.saturating_add(1);
+        let weight = ANSWER_WEIGHT.max(1.0 / f64::from(self.answers));
+        self.rate += weight * (f64::from(u8::from(failed)) - self.rate);
     }
 
-    /// The share; none before enough is seen.
+    /// The failure rate; none before enough answers were recorded.
     pub fn rate(&self) -> Option<f64> {
-        (self.seen >= SEEN_MIN).then_some(self.share)
+        (self.answers >= MIN_ANSWERS).then_some(self.rate)
     }
 
-    /// Whether a failure is nothing new for this route, so that it is no sign against the target that answered.
+    /// Whether failures are common on this route, so that one says nothing about the target that answered.
     pub fn is_common(&self) -> bool {
-        self.rate().is_some_and(|share| share >= COMMON_SHARE)
+        self.rate().is_some_and(|rate| rate >= COMMON_FAILURE_RATE)
     }
 }
 
-/// Failures of one target, by route.
+/// Failure rates of one target by route key, the most recently used route first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteFailures(VecDeque<(u64, FailureRate)>);
 
 impl RouteFailures {
-    /// Notes an answer to a call of a route.
+    /// Records an answer to a call of a route.
     pub fn record(&mut self, route: u64, failed: bool) {
-        let at = self.0.iter().position(|(key, _)| *key == route);
-        let (_, mut share) = at
-            .and_then(|at| self.0.remove(at))
+        let index = self.0.iter().position(|(key, _)| *key == route);
+        let (_, mut rate) = index
+            .and_then(|index| self.0.remove(index))
             .unwrap_or((route, FailureRate::default()));
-        share.record(failed);
-        self.0.push_front((route, share));
-        self.0.truncate(ROUTES_MAX);
+        rate.record(failed);
+        self.0.push_front((route, rate));
+        self.0.truncate(MAX_ROUTES);
     }
 
-    /// By how much more often the target fails a route than all targets do.
-    pub fn excess(&self, route: u64, usual: FailureRate) -> f64 {
-        let Some((_, here)) = self.0.iter().find(|(key, _)| *key == route) else {
+    /// By how much the target's failure rate on a route exceeds `overall`, the route's failure rate over all targets.
+    pub fn excess(&self, route: u64, overall: FailureRate) -> f64 {
+        let Some((_, own)) = self.0.iter().find(|(key, _)| *key == route) else {
             return 0.0;
         };
-        let usual = usual.rate().unwrap_or(0.0);
-        let seen = f64::from(here.seen.min(HELD_ANSWERS));
-        let share = (here.share * seen + usual * PRIOR_ANSWERS) / (seen + PRIOR_ANSWERS);
-        (share - usual).max(0.0)
+        let overall = overall.rate().unwrap_or(0.0);
+        let answers = f64::from(own.answers.min(MAX_ANSWERS));
+        let rate = (own.rate * answers + overall * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS);
+        (rate - overall).max(0.0)
     }
 
-    /// Each route with its share of failures.
+    /// The routes whose failure rate is known, by key, with that rate.
     pub fn rates(&self) -> impl Iterator<Item = (u64, f64)> {
         self.0
             .iter()
-            .filter_map(|(key, share)| Some((*key, share.rate()?)))
+            .filter_map(|(key, rate)| Some((*key, rate.rate()?)))
     }
 }
 
-/// That boxes got no answer from a target. One box may have a bad link of its own; two have not, by chance.
+/// Unanswered calls to a target, by this box and others. With one box its own network link may be at fault; two boxes at
+/// about the same time point to the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharedSuspicion {
-    last: Option<(u64, u64)>,
-    spared_until_ms: u64,
+    last_failure: Option<(u64, u64)>,
+    deprioritized_until_ms: u64,
 }
 
 impl SharedSuspicion {
-    /// Notes that a box, this one or another, got no answer.
+    /// Records that a call of box `source`, this one or another, got no answer.
     pub fn record_no_answer(&mut self, source: u64, now_ms: u64) {
-        let by_another = self
-            .last
-            .is_some_and(|(box_, at_ms)| box_ != source && now_ms < at_ms + TOGETHER_MS);
-        let again = self.spared_until_ms > 0 && now_ms < self.spared_until_ms + REMEMBERED_MS;
-        if by_another || again {
-            self.spared_until_ms = now_ms + SPARED_MS;
+        let is_corroborated = self
+            .last_failure
+            .is_some_and(|(box_id, at_ms)| box_id != source && now_ms < at_ms + CORROBORATION_MS);
+        let is_repeated =
+            self.deprioritized_until_ms > 0 && now_ms < self.deprioritized_until_ms + MEMORY_MS;
+        if is_corroborated || is_repeated {
+            self.deprioritized_until_ms = now_ms + DEPRIORITIZED_MS;
         }
-        self.last = Some((source, now_ms));
+        self.last_failure = Some((source, now_ms));
     }
 
-    /// Notes an answer that this box got: it outweighs what others said before.
+    /// Drops all suspicion after an answer to this box, which outweighs earlier reports of others.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether a box got no answer lately: that box's link may be bad, or the target.
+    /// Whether any box got no answer lately, because of its own link or of the target.
     pub fn is_suspected(&self, now_ms: u64) -> bool {
-        self.last
-            .is_some_and(|(_, at_ms)| now_ms < at_ms + REMEMBERED_MS)
+        self.last_failure
+            .is_some_and(|(_, at_ms)| now_ms < at_ms + MEMORY_MS)
     }
 
-    /// Whether calls go elsewhere, where they can.
+    /// Whether calls should go to other targets where possible.
     pub fn is_deprioritized(&self, now_ms: u64) -> bool {
-        now_ms < self.spared_until_ms
+        now_ms < self.deprioritized_until_ms
     }
 }
 
--- a/components/policy/src/balance/hints_tests.rs
+++ b/components/policy/src/balance/hints_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_boxes_together_stay_within_the_bound_whatever_they_see() {
+fn hints_of_all_boxes_together_stay_within_the_rate() {
     for boxes in [1, 20, 100] {
         let mut budgets = vec![HintBudget::default(); boxes];
         let mut sent = 0;
@@ -12,13 +12,13 @@
         }
         assert!(
             sent <= 300 + 2 * boxes,
-            "{sent} words of {boxes} boxes in 10 s"
+            "{sent} hints from {boxes} boxes in 10 s"
         );
     }
 }
 
 #[test]
-fn a_box_that_was_quiet_sends_two_words_at_once() {
+fn an_idle_box_may_send_a_burst_of_two_hints() {
     let mut budget = HintBudget::default();
     let sent = (0..10).filter(|_| budget.try_take(100, 60_000)).count();
     assert_eq!(sent, 2);
--- a/components/policy/src/balance/mod.rs
+++ b/components/policy/src/balance/mod.rs
@@ -1,5 +1,5 @@
-//! Plain calls, balanced among targets that other boxes send to as well: what a box knows of each target's pace, of how
-//! slow it is right now, and of what it fails; and which target a call goes to.
+//! Load balancing of plain calls over targets that other boxes send to as well: latency, slowness and failures of each
+//! target as this box observes them or gets them reported, and the choice of a target for each call.
 
 pub(crate) mod choose;
 pub(crate) mod failures;
--- a/components/policy/src/balance/slowness.rs
+++ b/components/policy/src/balance/slowness.rs
@@ -1,43 +1,46 @@
-//! How slow a target is right now, by its own word or by that of a box that just had its answer.
+//! How slow a target currently is, as the target itself or a box that just got an answer from it reports.
 
-/// How long a word counts. Disturbances come and go within some tenths of a second.
-const LIFE_MS: u64 = 700;
-/// Words below this are the usual spread.
+/// How long a report counts. Slowdowns start and end within some tenths of a second.
+const REPORT_TTL_MS: u64 = 700;
+/// Reports below this are normal variation.
 const SLOW_PERCENT: u32 = 150;
-/// The most that a word counts: a target that says more is spared no further.
-const PERCENT_MAX: u32 = 400;
+/// Upper bound on a report: a target that reports more is avoided no further.
+const MAX_PERCENT: u32 = 400;
 
-/// The latest word.
+/// The latest slowness report of a target: 100 percent is its normal latency, 200 percent twice that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slowness {
     percent: u32,
-    at_ms: u64,
+    reported_ms: u64,
 }
 
 impl Slowness {
-    /// Takes a word in that is `age_ms` old. An older one than is known changes nothing.
+    /// Applies a report that was made `age_ms` ago, unless a newer one is known.
     pub fn update(&mut self, percent: u32, age_ms: u64, now_ms: u64) {
-        let at_ms = now_ms.saturating_sub(age_ms);
-        if at_ms >= self.at_ms {
-            *self = Self { percent, at_ms };
+        let reported_ms = now_ms.saturating_sub(age_ms);
+        if reported_ms >= self.reported_ms {
+            *self = Self {
+                percent,
+                reported_ms,
+            };
         }
     }
 
-    /// Whether a word differs from what is believed, so that other boxes gain by it.
+    /// Whether a report changes the known state from slow to normal or back, so that other boxes should get it as well.
     pub fn is_change(&self, percent: u32, now_ms: u64) -> bool {
         (percent >= SLOW_PERCENT) != self.is_slow(now_ms)
     }
 
-    /// Whether the target is slow now, as far as is known.
+    /// Whether a report that still counts says that the target is slow.
     pub fn is_slow(&self, now_ms: u64) -> bool {
-        self.percent >= SLOW_PERCENT && now_ms < self.at_ms + LIFE_MS
+        self.percent >= SLOW_PERCENT && now_ms < self.reported_ms + REPORT_TTL_MS
     }
 
-    /// What its calls take, as a share of the usual time. Never below 1: that a target is faster has to be seen, as
-    /// one that says so falsely would draw all calls.
+    /// Expected latency relative to the baseline. Never below 1: a faster target must be observed to be so, as one that
+    /// reports it falsely would attract all calls.
     pub fn latency_ratio(&self, now_ms: u64) -> f64 {
         match self.is_slow(now_ms) {
-            true => f64::from(self.percent.min(PERCENT_MAX)) / 100.0,
+            true => f64::from(self.percent.min(MAX_PERCENT)) / 100.0,
             false => 1.0,
         }
     }
--- a/components/policy/src/balance/stats.rs
+++ b/components/policy/src/balance/stats.rs
@@ -1,39 +1,39 @@
-//! All that a box knows of one target for plain calls.
+//! Statistics that a box keeps of routes and targets to balance plain calls.
 
 use crate::balance::failures::{FailureRate, RouteFailures, SharedSuspicion};
 use crate::balance::latency::{RouteLatency, TargetLatency};
 use crate::balance::limit::ConcurrencyLimit;
 use crate::balance::slowness::Slowness;
 
-/// What all targets do with the calls of one route.
+/// Statistics of one route over all targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteStats {
-    /// Their usual time.
+    /// Mean latency of its calls.
     pub latency: RouteLatency,
-    /// How often they fail.
+    /// How often its calls fail.
     pub failures: FailureRate,
 }
 
-/// What is known of one life of a target.
+/// Statistics of one incarnation of a target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TargetStats {
-    /// How fast it is beside the others.
+    /// Latency of this box's calls, relative to the baseline of their routes.
     pub latency: TargetLatency,
-    /// How slow it is right now.
+    /// The latest report of how slow it is.
     pub slowness: Slowness,
-    /// What it fails, by route.
+    /// Its failure rate by route.
     pub route_failures: RouteFailures,
-    /// How many calls of this box it bears at once.
+    /// Limit on this box's concurrent calls there.
     pub limit: ConcurrencyLimit,
-    /// That boxes got no answer.
+    /// Unanswered calls of this box and of others.
     pub suspicion: SharedSuspicion,
 }
 
 impl TargetStats {
-    /// The time of a call, as a share of the usual time at an empty target, as far as it depends on the target alone.
+    /// Expected latency of a call relative to the baseline of its route, without queueing.
     pub fn latency_ratio(&self, now_ms: u64) -> f64 {
-        let seen = self.latency.ratio(now_ms);
-        // Not their product: the answers that were seen already hold a part of the slowness that it tells now.
-        seen.max(self.slowness.latency_ratio(now_ms))
+        let observed = self.latency.ratio(now_ms);
+        // The maximum, not the product: the observed latencies already contain a part of the reported slowness.
+        observed.max(self.slowness.latency_ratio(now_ms))
     }
 }
