--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -3,7 +3,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    Demand, End, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
+    Demand, End, EngineInfo, EventGaps, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
     WaitingPolicy,
 };
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
@@ -67,10 +67,10 @@
 }
 
 /// Events of engines that are uneven: a telling in three is twice as slow, one in seven disturbed.
-fn gaps(serial: u64) -> GapsTold {
+fn gaps(serial: u64) -> EventGaps {
     let slow = if serial.is_multiple_of(3) { 2 } else { 1 };
     let disturbed = if serial.is_multiple_of(7) { 3 } else { 1 };
-    GapsTold {
+    EventGaps {
         events: 16,
         mean_ms: 40 * slow,
         longest_ms: 60 * slow * disturbed,
@@ -83,7 +83,7 @@
     black_box(pool.run(now_ms));
     let begun = serial.saturating_sub(30);
     pool.progress(demand(begun, 0).permit, 1, now_ms);
-    pool.gaps_seen(demand(begun, 0).permit, gaps(serial), now_ms);
+    pool.record_event_gaps(demand(begun, 0).permit, gaps(serial), now_ms);
     let Some(ended) = serial.checked_sub(OPEN) else {
         return;
     };
--- a/components/policy/src/pace/felt.rs
+++ b/components/policy/src/pace/impact.rs
@@ -3,8 +3,8 @@
 
 use crate::demand::Demand;
 use crate::kind::PoolSettings;
-use crate::pace::book::PaceBook;
-use crate::pace::chance::Feel;
+use crate::pace::model::PaceModel;
+use crate::pace::pause_risk::Feel;
 use crate::pace::steps::Load;
 use crate::placement::forecast::HORIZONS_TOKENS;
 use crate::placement::ledger::{EngineLedger, Stream, Streams};
@@ -18,54 +18,54 @@
 
 /// What the pauses at engines are worked out from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PauseView<'a> {
-    pub book: &'a PaceBook,
+pub(crate) struct PauseEstimator<'a> {
+    pub pace: &'a PaceModel,
     pub streams: &'a Streams,
     pub settings: &'a PoolSettings,
-    pub rate: &'a ReadingRate,
+    pub prefill_rate: &'a ReadingRate,
     pub tokens_per_ms: f64,
     pub now_ms: u64,
 }
 
 /// A request as far as its pauses go.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pausing {
+pub(crate) struct PauseProfile {
     /// The longest pause that its caller bears.
     pub goal_ms: Option<f64>,
     /// Tokens that it will still generate.
-    pub rest_tokens: f64,
+    pub remaining_tokens: f64,
     /// Tokens of its prompt that are to be read.
     pub prompt_tokens: f64,
 }
 
-impl PauseView<'_> {
+impl PauseEstimator<'_> {
     /// Whether pauses decide anything.
     pub(crate) fn decides(&self) -> bool {
-        self.settings.learns_pace && self.settings.long_pause_ms > 0 && self.book.is_settled()
+        self.settings.learns_pace && self.settings.long_pause_ms > 0 && self.pace.is_settled()
     }
 
     /// How events would come at an engine with one stream more, whose prompt is so long.
     pub(crate) fn feel(&self, ledger: &EngineLedger, prompt_tokens: f64) -> Option<Feel> {
-        let load = |reading_share| Load {
+        let load = |prefill_share| Load {
             streams: ledger.streams.len() as f64 + 1.0,
-            reading_share,
+            prefill_share,
         };
-        let event_ms = |share| self.book.event_ms(&ledger.pace, load(share), self.now_ms);
+        let event_ms = |share| self.pace.event_ms(&ledger.pace, load(share), self.now_ms);
         Some(Feel {
             event_ms: event_ms(0.0)?,
             beside_ms: event_ms(1.0)?,
-            disturbance: self.book.disturbance(&ledger.pace),
-            reading_share: ledger.spans.share(READING_OVER_MS, self.now_ms),
-            reading_ms: prompt_tokens / ledger.reading.rate(self.rate),
+            disturbance: self.pace.disturbance(&ledger.pace),
+            prefill_share: ledger.spans.share(READING_OVER_MS, self.now_ms),
+            reading_ms: prompt_tokens / ledger.reading.rate(self.prefill_rate),
         })
     }
 
     /// Pauses beyond their goal that are expected if a request goes to an engine.
-    pub(crate) fn long_pauses(&self, ledger: &EngineLedger, new: &Pausing) -> f64 {
+    pub(crate) fn long_pauses(&self, ledger: &EngineLedger, new: &PauseProfile) -> f64 {
         let Some(feel) = self.feel(ledger, new.prompt_tokens) else {
             return 0.0;
         };
-        let window_ms = new.rest_tokens / self.tokens_per_ms;
+        let window_ms = new.remaining_tokens / self.tokens_per_ms;
         let own = new
             .goal_ms
             .map_or(0.0, |goal_ms| feel.long_pause(goal_ms, window_ms));
@@ -92,7 +92,7 @@
 
     /// The cost of the long pauses that are expected if a request goes to an engine, in tokens, so that it can be added to
     /// memory and reading.
-    pub(crate) fn pause_tokens(&self, ledger: &EngineLedger, new: &Pausing) -> f64 {
+    pub(crate) fn pause_cost_tokens(&self, ledger: &EngineLedger, new: &PauseProfile) -> f64 {
         if !self.decides() {
             return 0.0;
         }
@@ -121,28 +121,28 @@
     }
 
     /// The longest pause that is foretold for a request at an engine.
-    pub(crate) fn foretold_ms(
+    pub(crate) fn predicted_pause_ms(
         &self,
         demand: &Demand,
         target: TargetId,
         now_ms: u64,
     ) -> Option<u32> {
-        if !self.settings.learns_pace || !self.pace_book.is_settled() {
+        if !self.settings.learns_pace || !self.pace_model.is_settled() {
             return None;
         }
         let ledger = self.engines.get(target)?;
-        let view = self.pause_view(now_ms);
+        let view = self.pause_estimator(now_ms);
         let feel = view.feel(ledger, f64::from(demand.prompt_tokens))?;
         let window_ms = self.expected_tokens(demand) / self.tokens_per_ms;
         Some(feel.foretold_ms(window_ms) as u32)
     }
 
-    pub(crate) fn pause_view(&self, now_ms: u64) -> PauseView<'_> {
-        PauseView {
-            book: &self.pace_book,
+    pub(crate) fn pause_estimator(&self, now_ms: u64) -> PauseEstimator<'_> {
+        PauseEstimator {
+            pace: &self.pace_model,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            prefill_rate: &self.reading_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         }
@@ -150,5 +150,5 @@
 }
 
 #[cfg(test)]
-#[path = "felt_tests.rs"]
+#[path = "impact_tests.rs"]
 mod tests;
--- a/components/policy/src/pace/felt_tests.rs
+++ b/components/policy/src/pace/impact_tests.rs
@@ -2,7 +2,7 @@
 use crate::demand::{Adopted, Submitted, Verdict};
 use crate::fairness::tree::Share;
 use crate::kind::PoolSettings;
-use crate::pace::observed::{GapsTold, Observed};
+use crate::pace::observation::{EventGaps, PaceObservation};
 use crate::placement::ledger::EngineInfo;
 use crate::placement::length::LengthClass;
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId};
@@ -66,32 +66,32 @@
     for round in 0..60_u32 {
         let now_ms = u64::from(round) * 300;
         for (at, (target, speed)) in [(SLOW, slow), (FAST, 1.0)].into_iter().enumerate() {
-            let reading_share = f64::from(round % 3) / 2.0;
-            let mean_ms = speed * (30.0 + 32.0 * reading_share);
-            let longest_ms = speed * (30.0 + 32.0 * reading_share.ceil());
+            let prefill_share = f64::from(round % 3) / 2.0;
+            let mean_ms = speed * (30.0 + 32.0 * prefill_share);
+            let longest_ms = speed * (30.0 + 32.0 * prefill_share.ceil());
             let disturbed = if (round + at as u32).is_multiple_of(5) {
                 2.5
             } else {
                 1.0
             };
-            let observed = Observed {
+            let observed = PaceObservation {
                 target,
-                gaps: GapsTold {
+                gaps: EventGaps {
                     events: 16,
                     mean_ms: (mean_ms * (1.0 + disturbed) / 2.0) as u16,
                     longest_ms: (longest_ms * disturbed) as u16,
                     slowness_percent: 0,
                 },
                 streams: 1 + round % 6,
-                reading_share,
-                read_beside: reading_share > 0.0,
+                prefill_share,
+                overlaps_prefill: prefill_share > 0.0,
                 expected_ms: None,
             };
             let pace = &mut pool.engines.get_mut(target).unwrap().pace;
-            pool.pace_book.observe(pace, &observed, now_ms);
+            pool.pace_model.observe(pace, &observed, now_ms);
         }
         let paces = pool.engines.iter().map(|ledger| &ledger.pace);
-        pool.pace_book.set_usual(paces, now_ms);
+        pool.pace_model.update_baseline(paces, now_ms);
     }
 }
 
@@ -100,8 +100,8 @@
 /// Has both engines read half of the time.
 fn reading(pool: &mut Pool) {
     for ledger in pool.engines.iter_mut() {
-        ledger.spans.reads(true, NOW_MS - 1_000);
-        ledger.spans.reads(false, NOW_MS);
+        ledger.spans.set_prefilling(true, NOW_MS - 1_000);
+        ledger.spans.set_prefilling(false, NOW_MS);
     }
 }
 
@@ -140,11 +140,11 @@
     let mut pool = pool(PoolSettings::default());
     teach(&mut pool, 2.0);
     reading(&mut pool);
-    let view = pool.pause_view(NOW_MS);
+    let view = pool.pause_estimator(NOW_MS);
     let chance = |tokens| {
-        let pausing = Pausing {
+        let pausing = PauseProfile {
             goal_ms: Some(f64::from(GOAL_MS)),
-            rest_tokens: tokens,
+            remaining_tokens: tokens,
             prompt_tokens: 3_000.0,
         };
         view.long_pauses(pool.engines.get(SLOW).unwrap(), &pausing)
@@ -184,13 +184,13 @@
         generated_tokens: 40,
     };
     pool.adopt(adopted, NOW_MS);
-    let gaps = GapsTold {
+    let gaps = EventGaps {
         events: 1,
         mean_ms: 300,
         longest_ms: 300,
         slowness_percent: 0,
     };
-    pool.gaps_seen(demand(1, LONG, None).permit, gaps, NOW_MS);
+    pool.record_event_gaps(demand(1, LONG, None).permit, gaps, NOW_MS);
     assert_eq!(placed(&mut pool, demand(2, SHORT, None)), SLOW);
 }
 
--- a/components/policy/src/pace/mod.rs
+++ b/components/policy/src/pace/mod.rs
@@ -4,12 +4,12 @@
 //! others, and are slow for a part of a second now and then; prompts that are read beside streams, which take longer
 //! steps meanwhile; figures of engines about themselves that are missing, stand still or are false.
 
-pub(crate) mod book;
-pub(crate) mod chance;
 pub(crate) mod disturbance;
-pub(crate) mod felt;
-pub(crate) mod observed;
-pub(crate) mod shown;
+pub(crate) mod impact;
+pub(crate) mod model;
+pub(crate) mod observation;
+pub(crate) mod pause_risk;
+pub(crate) mod relative_pace;
 pub(crate) mod spans;
-pub(crate) mod speed;
+pub(crate) mod status;
 pub(crate) mod steps;
--- a/components/policy/src/pace/book.rs
+++ b/components/policy/src/pace/model.rs
@@ -1,8 +1,8 @@
 //! What a pool knows of pace as a whole, against which each engine is held.
 
 use crate::pace::disturbance::{Disturbance, Disturbances, Excess};
-use crate::pace::observed::{GapsTold, Observed};
-use crate::pace::speed::{Speed, Usual};
+use crate::pace::observation::{EventGaps, PaceObservation};
+use crate::pace::relative_pace::{Speed, Usual};
 use crate::pace::steps::{Load, StepModel};
 
 /// How often what is usual is worked out anew.
@@ -25,7 +25,7 @@
 
 /// The pace of the pool.
 #[derive(Clone, Debug, Default)]
-pub struct PaceBook {
+pub struct PaceModel {
     steps: StepModel,
     disturbances: Disturbances,
     /// How an engine is disturbed of which nothing was told.
@@ -34,15 +34,15 @@
     usual_ms: Option<u64>,
 }
 
-impl PaceBook {
-    /// Whether what is usual is to be worked out anew by [`PaceBook::set_usual`].
+impl PaceModel {
+    /// Whether what is usual is to be worked out anew by [`PaceModel::update_baseline`].
     pub fn is_due(&self, now_ms: u64) -> bool {
         self.usual_ms
             .is_none_or(|at_ms| now_ms >= at_ms + USUAL_EACH_MS)
     }
 
     /// Takes over what is usual.
-    pub fn set_usual<'a>(
+    pub fn update_baseline<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a EnginePace> + Clone,
         now_ms: u64,
@@ -79,7 +79,7 @@
     pub fn observe(
         &mut self,
         engine: &mut EnginePace,
-        observed: &Observed,
+        observed: &PaceObservation,
         now_ms: u64,
     ) -> Option<f64> {
         let gaps = &observed.gaps;
@@ -92,7 +92,7 @@
         }
         let load = Load {
             streams: f64::from(observed.streams),
-            reading_share: observed.reading_share,
+            prefill_share: observed.prefill_share,
         };
         let seen_ms = f64::from(gaps.mean_ms);
         let speed = self.speed(engine, now_ms);
@@ -104,7 +104,7 @@
     fn compare(
         &mut self,
         engine: &mut EnginePace,
-        observed: &Observed,
+        observed: &PaceObservation,
         load: Load,
         now_ms: u64,
     ) -> Option<f64> {
@@ -118,7 +118,7 @@
         let error_share = (expected_ms - seen_ms).abs() / seen_ms;
         engine.error_share += ERROR_WEIGHT * (error_share - engine.error_share);
         let longest = Load {
-            reading_share: f64::from(u8::from(observed.read_beside)),
+            prefill_share: f64::from(u8::from(observed.overlaps_prefill)),
             ..load
         };
         let longest_ms = self.event_ms(engine, longest, now_ms)?;
@@ -139,10 +139,10 @@
 const ERROR_WEIGHT: f64 = 0.1;
 
 /// Time that a telling covers.
-pub(crate) fn over_ms(gaps: &GapsTold) -> f64 {
+pub(crate) fn over_ms(gaps: &EventGaps) -> f64 {
     f64::from(gaps.mean_ms) * f64::from(gaps.events)
 }
 
 #[cfg(test)]
-#[path = "book_tests.rs"]
+#[path = "model_tests.rs"]
 mod tests;
--- a/components/policy/src/pace/book_tests.rs
+++ b/components/policy/src/pace/model_tests.rs
@@ -2,7 +2,7 @@
 
 /// A pool of three engines whose own speeds are 0.6, 1 and 1.6.
 struct World {
-    book: PaceBook,
+    book: PaceModel,
     engines: Vec<EnginePace>,
     now_ms: u64,
 }
@@ -11,7 +11,7 @@
 
 fn world() -> World {
     World {
-        book: PaceBook::default(),
+        book: PaceModel::default(),
         engines: vec![EnginePace::default(); SPEEDS.len()],
         now_ms: 0,
     }
@@ -22,33 +22,33 @@
     fn tell(&mut self, round: u32, says: impl Fn(usize) -> u16) {
         self.now_ms += 300;
         for (at, speed) in SPEEDS.iter().enumerate() {
-            let reading_share = f64::from((round + at as u32) % 3) / 2.0;
+            let prefill_share = f64::from((round + at as u32) % 3) / 2.0;
             let streams = 1 + (round * 7 + at as u32) % 6;
             let step_ms = speed * (28.0 + 0.5 * f64::from(streams));
-            let mean_ms = step_ms + speed * 32.0 * reading_share;
-            let longest_ms = step_ms + speed * 32.0 * reading_share.ceil();
+            let mean_ms = step_ms + speed * 32.0 * prefill_share;
+            let longest_ms = step_ms + speed * 32.0 * prefill_share.ceil();
             let hit = (round + at as u32).is_multiple_of(5);
             let (mean_ms, longest_ms) = match hit {
                 true => (mean_ms * 1.9, longest_ms * 2.5),
                 false => (mean_ms, longest_ms),
             };
-            let observed = Observed {
+            let observed = PaceObservation {
                 target: prelude::TargetId(at as u64),
-                gaps: GapsTold {
+                gaps: EventGaps {
                     events: 16,
                     mean_ms: mean_ms as u16,
                     longest_ms: longest_ms as u16,
                     slowness_percent: says(at),
                 },
                 streams,
-                reading_share,
-                read_beside: reading_share > 0.0,
+                prefill_share,
+                overlaps_prefill: prefill_share > 0.0,
                 expected_ms: None,
             };
             self.book
                 .observe(&mut self.engines[at], &observed, self.now_ms);
         }
-        self.book.set_usual(self.engines.iter(), self.now_ms);
+        self.book.update_baseline(self.engines.iter(), self.now_ms);
     }
 
     fn speeds(&self) -> Vec<f64> {
--- a/components/policy/src/pace/observed.rs
+++ b/components/policy/src/pace/observation.rs
@@ -1,12 +1,12 @@
 //! What is seen of an engine's pace: the times between the events of one stream, and the load on it meanwhile.
 
-use crate::pace::book::over_ms;
+use crate::pace::model::over_ms;
 use crate::pool::Pool;
 use prelude::{PermitId, TargetId};
 
 /// The times between events of one stream since they were last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GapsTold {
+pub struct EventGaps {
     /// Events that came after another.
     pub events: u16,
     /// Mean time from one event to the next.
@@ -19,17 +19,17 @@
 
 /// The same with the load that the engine had.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Observed {
+pub struct PaceObservation {
     /// The engine.
     pub target: TargetId,
     /// The times.
-    pub gaps: GapsTold,
+    pub gaps: EventGaps,
     /// Streams that it had.
     pub streams: u32,
     /// Share of the time in which it read a prompt.
-    pub reading_share: f64,
+    pub prefill_share: f64,
     /// Whether it read one at all, meanwhile or shortly before or after.
-    pub read_beside: bool,
+    pub overlaps_prefill: bool,
     /// The mean time from one event to the next that was expected; none where too little is known.
     pub expected_ms: Option<f64>,
 }
@@ -39,7 +39,12 @@
 
 impl Pool {
     /// Takes in how fast the events of a stream came. Returns what that says of its engine.
-    pub fn gaps_seen(&mut self, permit: PermitId, gaps: GapsTold, now_ms: u64) -> Option<Observed> {
+    pub fn record_event_gaps(
+        &mut self,
+        permit: PermitId,
+        gaps: EventGaps,
+        now_ms: u64,
+    ) -> Option<PaceObservation> {
         if gaps.events == 0 && gaps.slowness_percent == 0 {
             return None;
         }
@@ -47,23 +52,23 @@
         let stream = self.streams.get_mut(key)?;
         stream.longest_ms = stream.longest_ms.max(u32::from(gaps.longest_ms));
         let target = stream.target;
-        if self.settings.learns_pace && self.pace_book.is_due(now_ms) {
+        if self.settings.learns_pace && self.pace_model.is_due(now_ms) {
             let engines = self.engines.iter().map(|ledger| &ledger.pace);
-            self.pace_book.set_usual(engines, now_ms);
+            self.pace_model.update_baseline(engines, now_ms);
         }
         let ledger = self.engines.get_mut(target)?;
         let over_ms = over_ms(&gaps) as u64;
-        let mut observed = Observed {
+        let mut observed = PaceObservation {
             target,
             gaps,
             streams: ledger.streams.len() as u32,
-            reading_share: ledger.spans.share(over_ms, now_ms),
-            read_beside: ledger.spans.share(over_ms + NEWS_MS, now_ms) > 0.0,
+            prefill_share: ledger.spans.share(over_ms, now_ms),
+            overlaps_prefill: ledger.spans.share(over_ms + NEWS_MS, now_ms) > 0.0,
             expected_ms: None,
         };
         if self.settings.learns_pace {
             let pace = &mut ledger.pace;
-            observed.expected_ms = self.pace_book.observe(pace, &observed, now_ms);
+            observed.expected_ms = self.pace_model.observe(pace, &observed, now_ms);
         }
         Some(observed)
     }
--- a/components/policy/src/pace/chance.rs
+++ b/components/policy/src/pace/pause_risk.rs
@@ -15,7 +15,7 @@
     /// How the engine is disturbed.
     pub disturbance: Option<Disturbance>,
     /// Share of the time in which it reads a prompt.
-    pub reading_share: f64,
+    pub prefill_share: f64,
     /// How long it reads one.
     pub reading_ms: f64,
 }
@@ -48,14 +48,14 @@
 
     /// Chances that it is read beside, disturbed, and both at once, within a window.
     fn chances(&self, window_ms: f64) -> [f64; 3] {
-        let read = met(self.reading_share, self.reading_ms, window_ms);
+        let read = met(self.prefill_share, self.reading_ms, window_ms);
         let Some(disturbance) = self.disturbance else {
             return [read, 0.0, 0.0];
         };
         let (share, spell_ms) = (disturbance.share, disturbance.spell_ms);
         let disturbed = met(share, spell_ms, window_ms);
         let each_ms = 1.0 / (1.0 / spell_ms.max(1.0) + 1.0 / self.reading_ms.max(1.0));
-        let both = met(share * self.reading_share, each_ms, window_ms);
+        let both = met(share * self.prefill_share, each_ms, window_ms);
         [read, disturbed, both]
     }
 
@@ -104,5 +104,5 @@
 }
 
 #[cfg(test)]
-#[path = "chance_tests.rs"]
+#[path = "pause_risk_tests.rs"]
 mod tests;
--- a/components/policy/src/pace/chance_tests.rs
+++ b/components/policy/src/pace/pause_risk_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn feel(speed: f64, reading_share: f64) -> Feel {
+fn feel(speed: f64, prefill_share: f64) -> Feel {
     Feel {
         event_ms: 30.0 * speed,
         beside_ms: 62.0 * speed,
@@ -9,7 +9,7 @@
             strength: 2.5,
             spell_ms: 600.0,
         }),
-        reading_share,
+        prefill_share,
         reading_ms: 400.0,
     }
 }
--- a/components/policy/src/pace/speed.rs
+++ b/components/policy/src/pace/relative_pace.rs
@@ -133,5 +133,5 @@
 }
 
 #[cfg(test)]
-#[path = "speed_tests.rs"]
+#[path = "relative_pace_tests.rs"]
 mod tests;
--- a/components/policy/src/pace/spans.rs
+++ b/components/policy/src/pace/spans.rs
@@ -7,14 +7,14 @@
 
 /// The times at which one engine was reading.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ReadingSpans {
+pub(crate) struct PrefillSpans {
     over: VecDeque<(u64, u64)>,
     since_ms: Option<u64>,
 }
 
-impl ReadingSpans {
+impl PrefillSpans {
     /// Notes whether it reads from now on.
-    pub(crate) fn reads(&mut self, reads: bool, now_ms: u64) {
+    pub(crate) fn set_prefilling(&mut self, reads: bool, now_ms: u64) {
         match (self.since_ms, reads) {
             (None, true) => self.since_ms = Some(now_ms),
             (Some(since_ms), false) => {
--- a/components/policy/src/pace/shown.rs
+++ b/components/policy/src/pace/status.rs
@@ -1,6 +1,6 @@
 //! The pace of an engine as operators see it.
 
-use crate::pace::felt::Pausing;
+use crate::pace::impact::PauseProfile;
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::Pool;
 use prelude::{PermitId, TargetId};
@@ -13,7 +13,7 @@
 
 /// How fast an engine makes events, by what its dispatcher knows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PaceShown {
+pub struct PaceStatus {
     /// Its own speed; 1 is usual, 2 takes twice as long.
     pub speed: f64,
     /// Time from one event to the next with one stream more.
@@ -40,48 +40,48 @@
 
 /// A pause of a stream that ended: what was foretold where it was placed, and what was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PauseForetold {
+pub struct PausePrediction {
     /// The engine.
     pub target: TargetId,
     /// As foretold.
-    pub foretold_ms: u32,
+    pub predicted_ms: u32,
     /// As seen.
-    pub seen_ms: u32,
+    pub observed_ms: u32,
     /// Whether it was beyond its caller's goal.
-    pub is_too_long: bool,
+    pub exceeds_goal: bool,
 }
 
 impl Pool {
     /// The longest pause of a stream, as foretold and as seen; none where nothing was foretold or seen.
-    pub fn pause_foretold(&self, permit: PermitId) -> Option<PauseForetold> {
+    pub fn pause_prediction(&self, permit: PermitId) -> Option<PausePrediction> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         let goal_ms = stream.pause_goal_ms;
-        (stream.longest_ms > 0).then_some(PauseForetold {
+        (stream.longest_ms > 0).then_some(PausePrediction {
             target: stream.target,
-            foretold_ms: stream.foretold_ms?,
-            seen_ms: stream.longest_ms,
-            is_too_long: goal_ms.is_some_and(|goal_ms| stream.longest_ms > goal_ms),
+            predicted_ms: stream.foretold_ms?,
+            observed_ms: stream.longest_ms,
+            exceeds_goal: goal_ms.is_some_and(|goal_ms| stream.longest_ms > goal_ms),
         })
     }
 
     /// The pace of an engine; none where it is not known.
-    pub fn pace_of(&self, target: TargetId, now_ms: u64) -> Option<PaceShown> {
+    pub fn pace_status(&self, target: TargetId, now_ms: u64) -> Option<PaceStatus> {
         let ledger = self.engines.get(target)?;
-        let view = self.pause_view(now_ms);
+        let view = self.pause_estimator(now_ms);
         let feel = view.feel(ledger, PROMPT_TOKENS);
-        let new = Pausing {
+        let new = PauseProfile {
             goal_ms: None,
-            rest_tokens: 0.0,
+            remaining_tokens: 0.0,
             prompt_tokens: PROMPT_TOKENS,
         };
         let long_pauses = match view.decides() {
             true => view.long_pauses(ledger, &new),
             false => 0.0,
         };
-        let disturbance = self.pace_book.disturbance(&ledger.pace);
+        let disturbance = self.pace_model.disturbance(&ledger.pace);
         let all = self.streams.len().max(1) as f64;
-        Some(PaceShown {
-            speed: self.pace_book.speed(&ledger.pace, now_ms),
+        Some(PaceStatus {
+            speed: self.pace_model.speed(&ledger.pace, now_ms),
             event_ms: feel.map_or(0.0, |feel| feel.event_ms),
             beside_ms: feel.map_or(0.0, |feel| feel.beside_ms),
             disturbed_share: disturbance.map_or(0.0, |seen| seen.share),
@@ -111,5 +111,5 @@
 }
 
 #[cfg(test)]
-#[path = "shown_tests.rs"]
+#[path = "status_tests.rs"]
 mod tests;
--- a/components/policy/src/pace/steps.rs
+++ b/components/policy/src/pace/steps.rs
@@ -21,12 +21,12 @@
     /// Streams that run.
     pub streams: f64,
     /// Share of the time in which a prompt is read beside them.
-    pub reading_share: f64,
+    pub prefill_share: f64,
 }
 
 impl Load {
     fn parts(self) -> [f64; 3] {
-        [1.0, self.streams, self.reading_share]
+        [1.0, self.streams, self.prefill_share]
     }
 }
 
--- a/components/policy/src/pace/steps_tests.rs
+++ b/components/policy/src/pace/steps_tests.rs
@@ -2,10 +2,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn load(streams: u32, reading_share: f64) -> Load {
+fn load(streams: u32, prefill_share: f64) -> Load {
     Load {
         streams: f64::from(streams),
-        reading_share,
+        prefill_share,
     }
 }
 
@@ -13,7 +13,7 @@
     let mut model = StepModel::default();
     for at in 0..rounds {
         let load = load(at % 7, f64::from(at % 5) / 4.0);
-        model.observe(load, 28.0 + 0.5 * load.streams + 32.0 * load.reading_share);
+        model.observe(load, 28.0 + 0.5 * load.streams + 32.0 * load.prefill_share);
     }
     model
 }
@@ -63,10 +63,10 @@
     for round in 0..200_000 {
         let load = Load {
             streams: 1.0 + next(8) as f64,
-            reading_share: next(5) as f64 / 4.0,
+            prefill_share: next(5) as f64 / 4.0,
         };
         let noise = 0.9 + next(200) as f64 / 1_000.0;
-        let true_ms = 24.0 + 0.8 * load.streams + 28.0 * load.reading_share;
+        let true_ms = 24.0 + 0.8 * load.streams + 28.0 * load.prefill_share;
         model.observe(load, true_ms * noise);
         if round > 1_000 {
             let predicted_ms = model.event_ms(load).unwrap_or_default();
@@ -83,7 +83,7 @@
     let mut model = StepModel::default();
     for at in 0..20_000 {
         let load = load(random.random_range(4..7), random.random_range(0.0..1.0));
-        let event_ms = 28.0 + 0.5 * load.streams + 32.0 * load.reading_share;
+        let event_ms = 28.0 + 0.5 * load.streams + 32.0 * load.prefill_share;
         let slower = if random.random_range(0..disturbed) == 0 {
             3.0
         } else {
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -3,7 +3,7 @@
 use crate::admission::queue::Place;
 use crate::demand::Demand;
 use crate::kind::ReadingPolicy;
-use crate::pace::felt::{PauseView, Pausing, expected_tokens};
+use crate::pace::impact::{PauseEstimator, PauseProfile, expected_tokens};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
 use crate::placement::reading::ReadingRate;
 use crate::pool::{Pool, demand_forecast};
@@ -38,17 +38,17 @@
             margin,
             now_ms,
         };
-        let pauses = PauseView {
-            book: &self.pace_book,
+        let pauses = PauseEstimator {
+            pace: &self.pace_model,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            prefill_rate: &self.reading_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         };
-        let pausing = Pausing {
+        let pausing = PauseProfile {
             goal_ms: demand.pause_goal_ms.map(f64::from),
-            rest_tokens: expected_tokens(&self.lengths, demand),
+            remaining_tokens: expected_tokens(&self.lengths, demand),
             prompt_tokens: f64::from(demand.prompt_tokens),
         };
         let mut best: Option<(f64, TargetId)> = None;
@@ -84,7 +84,7 @@
             if is_beaten(capacity_tokens + before_pauses) {
                 continue;
             }
-            let without_room = before_pauses - pauses.pause_tokens(ledger, &pausing);
+            let without_room = before_pauses - pauses.pause_cost_tokens(ledger, &pausing);
             if is_beaten(capacity_tokens + without_room) {
                 continue;
             }
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -3,8 +3,8 @@
 
 use crate::fairness::tree::Share;
 use crate::kind::PoolSettings;
-use crate::pace::book::EnginePace;
-use crate::pace::spans::ReadingSpans;
+use crate::pace::model::EnginePace;
+use crate::pace::spans::PrefillSpans;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::length::{LengthClass, LengthModel};
 use crate::placement::reading::Reading;
@@ -189,7 +189,7 @@
     /// Prompts that it has still to read.
     pub reading: Reading,
     /// When it read, lately.
-    pub(crate) spans: ReadingSpans,
+    pub(crate) spans: PrefillSpans,
     /// How fast it makes events.
     pub(crate) pace: EnginePace,
     forecast: Forecast,
@@ -212,7 +212,7 @@
             foreign_tokens: 0.0,
             preemptions_seen: 0,
             reading: Reading::default(),
-            spans: ReadingSpans::default(),
+            spans: PrefillSpans::default(),
             pace: EnginePace::default(),
             forecast: Forecast::default(),
             forecast_ms: None,
@@ -258,7 +258,7 @@
     pub fn remove(&mut self, key: StreamKey, now_ms: u64) {
         self.streams.retain(|other| *other != key);
         self.reading.left(key, now_ms);
-        self.spans.reads(!self.reading.is_idle(), now_ms);
+        self.spans.set_prefilling(!self.reading.is_idle(), now_ms);
         self.forecast_ms = None;
     }
 
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -1,6 +1,6 @@
 //! A generation goes on at another engine: which one has room for what it holds and will still make.
 
-use crate::pace::felt::{PauseView, Pausing};
+use crate::pace::impact::{PauseEstimator, PauseProfile};
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineState, RoomView};
 use crate::pool::Pool;
@@ -47,7 +47,7 @@
         let held = f64::from(stream.prompt_tokens) + f64::from(stream.generated_tokens);
         let generated = f64::from(stream.generated_tokens);
         let goal_ms = stream.goal_left_ms();
-        let rest_tokens = stream.rest_tokens();
+        let remaining_tokens = stream.rest_tokens();
         let mut more = Forecast::default();
         more.add(held, stream.survival(&self.lengths, generated));
         let place = self.data_centre_of(from);
@@ -61,17 +61,17 @@
             margin,
             now_ms,
         };
-        let pauses = PauseView {
-            book: &self.pace_book,
+        let pauses = PauseEstimator {
+            pace: &self.pace_model,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            prefill_rate: &self.reading_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         };
-        let pausing = Pausing {
+        let pausing = PauseProfile {
             goal_ms: goal_ms.map(f64::from),
-            rest_tokens,
+            remaining_tokens,
             prompt_tokens: 0.0,
         };
         let mut best: Option<(f64, TargetId)> = None;
@@ -94,7 +94,7 @@
             }
             let near = f64::from(u8::from(place == Some(ledger.info.data_centre)));
             let busy = arriving.iter().filter(|other| **other == id).count() as f64;
-            let paused = pauses.pause_tokens(ledger, &pausing);
+            let paused = pauses.pause_cost_tokens(ledger, &pausing);
             let score = left + near * near_copy - busy * ARRIVAL_TOKENS - paused;
             if best.is_none_or(|(other, _)| score > other) {
                 best = Some((score, id));
@@ -106,7 +106,7 @@
             ledger.placed(now_ms);
             if generated_tokens == 0 {
                 ledger.reading.sent(key, prompt_tokens, now_ms);
-                ledger.spans.reads(true, now_ms);
+                ledger.spans.set_prefilling(true, now_ms);
             }
         }
         if let Some(stream) = self.streams.get_mut(key) {
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -10,7 +10,7 @@
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
 use crate::kind::{PolicyKind, PoolSettings};
-use crate::pace::book::PaceBook;
+use crate::pace::model::PaceModel;
 use crate::placement::engine_set::EngineSet;
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineLedger, Stream, StreamKey, Streams};
@@ -47,7 +47,7 @@
     margin_ms: u64,
     pub(crate) tokens_per_ms: f64,
     pub(crate) reading_rate: ReadingRate,
-    pub(crate) pace_book: PaceBook,
+    pub(crate) pace_model: PaceModel,
     /// The latest time that it was given: it reads no clock.
     pub(crate) now_ms: u64,
     pub(crate) grants: VecDeque<u64>,
@@ -83,7 +83,7 @@
             margin_ms: 0,
             tokens_per_ms: PACE_INITIAL,
             reading_rate: ReadingRate::default(),
-            pace_book: PaceBook::default(),
+            pace_model: PaceModel::default(),
             now_ms: 0,
             grants: VecDeque::new(),
             pace: GrantPace::default(),
@@ -265,7 +265,7 @@
             pause_goal_ms: demand.pause_goal_ms,
             longest_ms: 0,
             expected_tokens: self.expected_tokens(&demand) as f32,
-            foretold_ms: self.foretold_ms(&demand, target, now_ms),
+            foretold_ms: self.predicted_pause_ms(&demand, target, now_ms),
         };
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
         let held_tokens = f64::from(prompt_tokens + generated_tokens);
@@ -277,7 +277,7 @@
         let placed = self.engines.add_stream(target, key, &forecast, now_ms);
         if let Some(ledger) = placed.filter(|_| generated_tokens == 0) {
             ledger.reading.sent(key, prompt_tokens, now_ms);
-            ledger.spans.reads(true, now_ms);
+            ledger.spans.set_prefilling(true, now_ms);
         }
     }
 
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -78,7 +78,9 @@
         let mut rate = self.reading_rate;
         if let Some(ledger) = self.engine_mut(target) {
             ledger.reading.first_token(key, now_ms, &mut rate);
-            ledger.spans.reads(!ledger.reading.is_idle(), now_ms);
+            ledger
+                .spans
+                .set_prefilling(!ledger.reading.is_idle(), now_ms);
         }
         self.reading_rate = rate;
     }
--- a/components/policy/tests/pace_recorded.rs
+++ b/components/policy/tests/pace_recorded.rs
@@ -2,33 +2,33 @@
 
 use std::collections::HashMap;
 
-use policy::{EnginePace, GapsTold, Observed, PaceBook, PaceLoad};
+use policy::{EnginePace, EventGaps, PaceLoad, PaceModel, PaceObservation};
 use prelude::TargetId;
 
 const RECORDED: &str = include_str!("data/gaps.csv");
 /// Tellings that are taken in before predictions are counted.
 const WARMUP: usize = 100;
 
-fn recorded() -> Vec<(u64, Observed)> {
+fn recorded() -> Vec<(u64, PaceObservation)> {
     let lines = RECORDED.lines().skip(1);
     lines.map(|line| telling(line).expect(line)).collect()
 }
 
-fn telling(line: &str) -> Option<(u64, Observed)> {
+fn telling(line: &str) -> Option<(u64, PaceObservation)> {
     let words: Vec<&str> = line.split(',').collect();
-    let reading_share: f64 = words.get(3)?.parse().ok()?;
+    let prefill_share: f64 = words.get(3)?.parse().ok()?;
     let short = |at: usize| words.get(at)?.parse::<u16>().ok();
-    let observed = Observed {
+    let observed = PaceObservation {
         target: TargetId(words.get(1)?.parse().ok()?),
-        gaps: GapsTold {
+        gaps: EventGaps {
             events: short(4)?,
             mean_ms: short(5)?,
             longest_ms: short(6)?,
             slowness_percent: short(7)?,
         },
         streams: words.get(2)?.parse().ok()?,
-        reading_share,
-        read_beside: reading_share > 0.0,
+        prefill_share,
+        overlaps_prefill: prefill_share > 0.0,
         expected_ms: None,
     };
     Some((words.first()?.parse().ok()?, observed))
@@ -40,7 +40,7 @@
     (errors[errors.len() / 2], errors[errors.len() * 9 / 10])
 }
 
-fn error(expected_ms: f64, observed: &Observed) -> f64 {
+fn error(expected_ms: f64, observed: &PaceObservation) -> f64 {
     let seen_ms = f64::from(observed.gaps.mean_ms);
     (expected_ms - seen_ms).abs() / seen_ms
 }
@@ -62,18 +62,18 @@
 
 /// Own speed apart from the load and from disturbances.
 fn errors_of_parts(listens: bool) -> Vec<f64> {
-    let mut book = PaceBook::default();
+    let mut book = PaceModel::default();
     let mut engines: HashMap<TargetId, EnginePace> = HashMap::new();
     let mut errors = Vec::new();
     for (now_ms, mut observed) in recorded() {
         if !listens {
             observed.gaps.slowness_percent = 0;
         }
-        book.set_usual(engines.values(), now_ms);
+        book.update_baseline(engines.values(), now_ms);
         let engine = engines.entry(observed.target).or_default();
         let load = PaceLoad {
             streams: f64::from(observed.streams),
-            reading_share: observed.reading_share,
+            prefill_share: observed.prefill_share,
         };
         let expected_ms = book.event_ms(engine, load, now_ms);
         if observed.gaps.events >= 2 {
--- a/components/relay/src/dispatch/pace.rs
+++ b/components/relay/src/dispatch/pace.rs
@@ -2,24 +2,24 @@
 
 use crate::state::Relay;
 use peers::GapsSeen;
-use policy::{GapsTold, Pool};
+use policy::{EventGaps, Pool};
 use prelude::PermitId;
 
 impl Relay {
     /// Notes the longest pause of a generation that ended, and what of its engine's pace explains one that was too long.
     pub(crate) fn note_pause(&self, pool: &Pool, permit: PermitId, now_ms: u64) {
-        let Some(pause) = pool.pause_foretold(permit) else {
+        let Some(pause) = pool.pause_prediction(permit) else {
             return;
         };
-        let (foretold_ms, seen_ms) = (pause.foretold_ms, pause.seen_ms);
+        let (foretold_ms, seen_ms) = (pause.predicted_ms, pause.observed_ms);
         metrics::histogram!("shuntpier_pause_foretold_ms").record(f64::from(foretold_ms));
         metrics::histogram!("shuntpier_pause_seen_ms").record(f64::from(seen_ms));
         let error_ms = foretold_ms.abs_diff(seen_ms);
         metrics::histogram!("shuntpier_pause_error_ms").record(f64::from(error_ms));
-        if !pause.is_too_long {
+        if !pause.exceeds_goal {
             return;
         }
-        let Some(pace) = pool.pace_of(pause.target, now_ms) else {
+        let Some(pace) = pool.pace_status(pause.target, now_ms) else {
             return;
         };
         slog::info!(self.log, "long pause"; "entry" => permit.entry.0, "permit" => permit.serial,
@@ -38,13 +38,13 @@
         seen: &GapsSeen,
         now_ms: u64,
     ) {
-        let gaps = GapsTold {
+        let gaps = EventGaps {
             events: seen.events,
             mean_ms: seen.mean_ms,
             longest_ms: seen.longest_ms,
             slowness_percent: seen.slowness_percent,
         };
-        let Some(observed) = pool.gaps_seen(permit, gaps, now_ms) else {
+        let Some(observed) = pool.record_event_gaps(permit, gaps, now_ms) else {
             return;
         };
         if let Some(expected_ms) = observed.expected_ms {
@@ -57,6 +57,6 @@
             "mean_ms" => gaps.mean_ms, "longest_ms" => gaps.longest_ms,
             "slowness_percent" => gaps.slowness_percent, "streams" => observed.streams,
             "expected_ms" => observed.expected_ms.map(|ms| ms.round() as u32),
-            "reading_share" => format_args!("{:.3}", observed.reading_share), "at_ms" => now_ms);
+            "reading_share" => format_args!("{:.3}", observed.prefill_share), "at_ms" => now_ms);
     }
 }
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -53,7 +53,7 @@
     fn pace_view(&self, target: &Target, now_ms: u64) -> Option<TargetPaceView> {
         let dispatchers = self.dispatchers.borrow();
         let dispatcher = dispatchers.get(&pool_of(&target.entry.service))?;
-        let shown = dispatcher.pool.pace_of(target.id, now_ms)?;
+        let shown = dispatcher.pool.pace_status(target.id, now_ms)?;
         Some(TargetPaceView {
             speed: shown.speed,
             event_ms: shown.event_ms,
