--- a/components/policy/src/pace/disturbance_tests.rs
+++ b/components/policy/src/pace/disturbance_tests.rs
@@ -1,46 +1,48 @@
 use super::*;
 
-/// Tellings of a second each; every fifth has a disturbance of 600 ms in which events take 2.5 times as long.
-fn disturbed(tellings: u32) -> Disturbances {
-    let mut seen = Disturbances::default();
-    for at in 0..tellings {
-        let hit = at % 5 == 0;
-        seen.observe(&Excess {
-            mean: if hit { 1.9 } else { 1.0 },
-            longest: if hit { 2.5 } else { 1.02 },
-            over_ms: 1_000.0,
+/// Reports of a second each; every fifth contains a disturbance of 600 ms in which events take 2.5 times as long.
+fn disturbed(reports: u32) -> DisturbanceStats {
+    let mut stats = DisturbanceStats::default();
+    for index in 0..reports {
+        let is_disturbed = index % 5 == 0;
+        stats.observe(&GapRatios {
+            mean: if is_disturbed { 1.9 } else { 1.0 },
+            longest: if is_disturbed { 2.5 } else { 1.02 },
+            span_ms: 1_000.0,
         });
     }
-    seen
+    stats
 }
 
 #[test]
-fn tells_share_and_strength_apart() {
-    let expected = disturbed(200).expected(&Disturbances::default()).unwrap();
-    assert!((expected.strength - 2.5).abs() < 0.01);
+fn estimates_share_slowdown_and_duration() {
+    let expected = disturbed(200)
+        .expected(&DisturbanceStats::default())
+        .unwrap();
+    assert!((expected.slowdown - 2.5).abs() < 0.01);
     assert!((expected.share - 0.12).abs() < 0.02, "{expected:?}");
     assert!(
-        (200.0..3_000.0).contains(&expected.spell_ms),
+        (200.0..3_000.0).contains(&expected.duration_ms),
         "{expected:?}"
     );
 }
 
 #[test]
-fn expects_of_an_engine_that_is_not_known_what_its_pool_shows() {
+fn expects_the_disturbances_of_the_pool_at_an_unknown_engine() {
     let pool = disturbed(200);
-    let expected = Disturbances::default().expected(&pool).unwrap();
-    assert!((expected.strength - 2.5).abs() < 0.01);
+    let expected = DisturbanceStats::default().expected(&pool).unwrap();
+    assert!((expected.slowdown - 2.5).abs() < 0.01);
 }
 
 #[test]
-fn expects_none_where_none_was_seen() {
-    let mut calm = Disturbances::default();
+fn expects_no_disturbance_if_none_was_observed() {
+    let mut undisturbed = DisturbanceStats::default();
     for _ in 0..50 {
-        calm.observe(&Excess {
+        undisturbed.observe(&GapRatios {
             mean: 1.05,
             longest: 1.3,
-            over_ms: 1_000.0,
+            span_ms: 1_000.0,
         });
     }
-    assert_eq!(calm.expected(&calm), None);
+    assert_eq!(undisturbed.expected(&undisturbed), None);
 }
--- a/components/policy/src/pace/impact.rs
+++ b/components/policy/src/pace/impact.rs
@@ -1,10 +1,10 @@
-//! What the callers would feel of one more request at an engine: a long pause of its own, and those that the reading of
-//! its prompt makes beside. Both count as time of reading, and with it as memory.
+//! Impact of one more request on the pauses at an engine: a long pause of its own, and those that its prefill causes in
+//! concurrent streams. Both are counted as prefill time, and thereby as memory.
 
 use crate::demand::Demand;
 use crate::kind::PoolSettings;
 use crate::pace::model::PaceModel;
-use crate::pace::pause_risk::Feel;
+use crate::pace::pause_risk::EventTiming;
 use crate::pace::steps::Load;
 use crate::placement::forecast::HORIZONS_TOKENS;
 use crate::placement::ledger::{EngineLedger, Stream, Streams};
@@ -13,10 +13,10 @@
 use crate::pool::Pool;
 use prelude::TargetId;
 
-/// Time over which the share that an engine spends on reading is taken.
-const READING_OVER_MS: u64 = 2_000;
+/// Window over which the prefill share of an engine is taken.
+const PREFILL_WINDOW_MS: u64 = 2_000;
 
-/// What the pauses at engines are worked out from.
+/// State from which the pauses at engines are estimated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PauseEstimator<'a> {
     pub pace: &'a PaceModel,
@@ -27,48 +27,52 @@
     pub now_ms: u64,
 }
 
-/// A request as far as its pauses go.
+/// What a request's pauses depend on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PauseProfile {
-    /// The longest pause that its caller bears.
+    /// The longest pause that its caller accepts.
     pub goal_ms: Option<f64>,
     /// Tokens that it will still generate.
     pub remaining_tokens: f64,
-    /// Tokens of its prompt that are to be read.
+    /// Tokens of its prompt that are still to be prefilled.
     pub prompt_tokens: f64,
 }
 
 impl PauseEstimator<'_> {
-    /// Whether pauses decide anything.
-    pub(crate) fn decides(&self) -> bool {
-        self.settings.learns_pace && self.settings.long_pause_ms > 0 && self.pace.is_settled()
+    /// Whether pauses affect placement.
+    pub(crate) fn is_active(&self) -> bool {
+        self.settings.learns_pace && self.settings.long_pause_ms > 0 && self.pace.is_trained()
     }
 
-    /// How events would come at an engine with one stream more, whose prompt is so long.
-    pub(crate) fn feel(&self, ledger: &EngineLedger, prompt_tokens: f64) -> Option<Feel> {
+    /// Timing of events at an engine with one stream more, whose prompt has `prompt_tokens`.
+    pub(crate) fn event_timing(
+        &self,
+        ledger: &EngineLedger,
+        prompt_tokens: f64,
+    ) -> Option<EventTiming> {
         let load = |prefill_share| Load {
             streams: ledger.streams.len() as f64 + 1.0,
             prefill_share,
         };
         let event_ms = |share| self.pace.event_ms(&ledger.pace, load(share), self.now_ms);
-        Some(Feel {
+        Some(EventTiming {
             event_ms: event_ms(0.0)?,
-            beside_ms: event_ms(1.0)?,
+            prefill_event_ms: event_ms(1.0)?,
             disturbance: self.pace.disturbance(&ledger.pace),
-            prefill_share: ledger.spans.share(READING_OVER_MS, self.now_ms),
-            reading_ms: prompt_tokens / ledger.reading.rate(self.prefill_rate),
+            prefill_share: ledger.spans.share(PREFILL_WINDOW_MS, self.now_ms),
+            prefill_ms: prompt_tokens / ledger.reading.rate(self.prefill_rate),
         })
     }
 
-    /// Pauses beyond their goal that are expected if a request goes to an engine.
-    pub(crate) fn long_pauses(&self, ledger: &EngineLedger, new: &PauseProfile) -> f64 {
-        let Some(feel) = self.feel(ledger, new.prompt_tokens) else {
+    /// Expected number of pauses beyond their goal if a request is placed at an engine.
+    pub(crate) fn expected_long_pauses(&self, ledger: &EngineLedger, new: &PauseProfile) -> f64 {
+        let Some(timing) = self.event_timing(ledger, new.prompt_tokens) else {
             return 0.0;
         };
         let window_ms = new.remaining_tokens / self.tokens_per_ms;
         let own = new
             .goal_ms
-            .map_or(0.0, |goal_ms| feel.long_pause(goal_ms, window_ms));
+            .map_or(0.0, |goal_ms| timing.long_pause(goal_ms, window_ms));
         if new.prompt_tokens == 0.0 {
             return own;
         }
@@ -76,33 +80,33 @@
             .streams
             .iter()
             .filter_map(|key| self.streams.get(*key));
-        let beside = streams.map(|stream| self.long_pause_beside(&feel, stream));
-        own + beside.sum::<f64>()
+        let others = streams.map(|stream| self.long_pause_during_prefill(&timing, stream));
+        own + others.sum::<f64>()
     }
 
-    /// Chance that a stream pauses beyond its goal because a prompt is read beside it.
-    fn long_pause_beside(&self, feel: &Feel, stream: &Stream) -> f64 {
+    /// Probability that a stream pauses beyond its goal while a prompt is prefilled.
+    fn long_pause_during_prefill(&self, timing: &EventTiming, stream: &Stream) -> f64 {
         let Some(goal_ms) = stream.goal_left_ms() else {
             return 0.0;
         };
-        let rest_ms = stream.rest_tokens() / self.tokens_per_ms;
-        let window_ms = feel.reading_ms.min(rest_ms);
-        feel.long_pause_beside(f64::from(goal_ms), window_ms)
+        let remaining_ms = stream.rest_tokens() / self.tokens_per_ms;
+        let window_ms = timing.prefill_ms.min(remaining_ms);
+        timing.long_pause_during_prefill(f64::from(goal_ms), window_ms)
     }
 
-    /// The cost of the long pauses that are expected if a request goes to an engine, in tokens, so that it can be added to
-    /// memory and reading.
+    /// Cost in tokens of the long pauses that are expected if a request is placed at an engine, to be added to the cost of
+    /// memory and prefill.
     pub(crate) fn pause_cost_tokens(&self, ledger: &EngineLedger, new: &PauseProfile) -> f64 {
-        if !self.decides() {
+        if !self.is_active() {
             return 0.0;
         }
         let settings = self.settings;
         let each = f64::from(settings.long_pause_ms) * f64::from(settings.reading_tokens_per_ms);
-        self.long_pauses(ledger, new) * each
+        self.expected_long_pauses(ledger, new) * each
     }
 }
 
-/// Tokens that an answer is expected to have.
+/// Expected number of tokens of an answer.
 pub(crate) fn expected_tokens(lengths: &LengthModel, demand: &Demand) -> f64 {
     let survivor = lengths.survivor(demand.class, 0.0);
     let mut from = 0.0;
@@ -120,21 +124,21 @@
         expected_tokens(&self.lengths, demand)
     }
 
-    /// The longest pause that is foretold for a request at an engine.
+    /// Predicted longest pause of a request at an engine; none while too little is known of the pool's pace.
     pub(crate) fn predicted_pause_ms(
         &self,
         demand: &Demand,
         target: TargetId,
         now_ms: u64,
     ) -> Option<u32> {
-        if !self.settings.learns_pace || !self.pace_model.is_settled() {
+        if !self.settings.learns_pace || !self.pace_model.is_trained() {
             return None;
         }
         let ledger = self.engines.get(target)?;
-        let view = self.pause_estimator(now_ms);
-        let feel = view.feel(ledger, f64::from(demand.prompt_tokens))?;
+        let estimator = self.pause_estimator(now_ms);
+        let timing = estimator.event_timing(ledger, f64::from(demand.prompt_tokens))?;
         let window_ms = self.expected_tokens(demand) / self.tokens_per_ms;
-        Some(feel.foretold_ms(window_ms) as u32)
+        Some(timing.predicted_pause_ms(window_ms) as u32)
     }
 
     pub(crate) fn pause_estimator(&self, now_ms: u64) -> PauseEstimator<'_> {
--- a/components/policy/src/pace/impact_tests.rs
+++ b/components/policy/src/pace/impact_tests.rs
@@ -10,7 +10,7 @@
 const SLOW: TargetId = TargetId(1);
 const FAST: TargetId = TargetId(2);
 const GOAL_MS: u32 = 180;
-/// Tokens of an answer that lasts for some seconds.
+/// Tokens of an answer that takes several seconds.
 const LONG: u32 = 1_500;
 /// Tokens of an answer of two events.
 const SHORT: u32 = 8;
@@ -45,7 +45,7 @@
     }
 }
 
-/// A slow engine with more memory than the fast one beside it, so that memory alone always chooses the slow one.
+/// A pool of a slow and a fast engine. The slow one has more memory, so that it is always chosen by memory alone.
 fn pool(settings: PoolSettings) -> Pool {
     let mut pool = Pool::new(PoolSettings {
         first_report_ms: 0,
@@ -61,25 +61,27 @@
     pool
 }
 
-/// Tells of events of both engines: the slow one takes so many times as long, and one telling in five is disturbed.
-fn teach(pool: &mut Pool, slow: f64) {
+/// Trains the pace model with events of both engines: the slow one takes `slow_pace` times as long as the fast one, and one
+/// report in five is disturbed.
+fn train(pool: &mut Pool, slow_pace: f64) {
     for round in 0..60_u32 {
         let now_ms = u64::from(round) * 300;
-        for (at, (target, speed)) in [(SLOW, slow), (FAST, 1.0)].into_iter().enumerate() {
+        for (index, (target, own_pace)) in [(SLOW, slow_pace), (FAST, 1.0)].into_iter().enumerate()
+        {
             let prefill_share = f64::from(round % 3) / 2.0;
-            let mean_ms = speed * (30.0 + 32.0 * prefill_share);
-            let longest_ms = speed * (30.0 + 32.0 * prefill_share.ceil());
-            let disturbed = if (round + at as u32).is_multiple_of(5) {
+            let mean_ms = own_pace * (30.0 + 32.0 * prefill_share);
+            let longest_ms = own_pace * (30.0 + 32.0 * prefill_share.ceil());
+            let slowdown = if (round + index as u32).is_multiple_of(5) {
                 2.5
             } else {
                 1.0
             };
-            let observed = PaceObservation {
+            let observation = PaceObservation {
                 target,
                 gaps: EventGaps {
                     events: 16,
-                    mean_ms: (mean_ms * (1.0 + disturbed) / 2.0) as u16,
-                    longest_ms: (longest_ms * disturbed) as u16,
+                    mean_ms: (mean_ms * (1.0 + slowdown) / 2.0) as u16,
+                    longest_ms: (longest_ms * slowdown) as u16,
                     slowness_percent: 0,
                 },
                 streams: 1 + round % 6,
@@ -88,7 +90,7 @@
                 expected_ms: None,
             };
             let pace = &mut pool.engines.get_mut(target).unwrap().pace;
-            pool.pace_model.observe(pace, &observed, now_ms);
+            pool.pace_model.observe(pace, &observation, now_ms);
         }
         let paces = pool.engines.iter().map(|ledger| &ledger.pace);
         pool.pace_model.update_baseline(paces, now_ms);
@@ -97,15 +99,15 @@
 
 const NOW_MS: u64 = 18_000;
 
-/// Has both engines read half of the time.
-fn reading(pool: &mut Pool) {
+/// Lets both engines prefill for half of the window before now.
+fn set_prefilling(pool: &mut Pool) {
     for ledger in pool.engines.iter_mut() {
         ledger.spans.set_prefilling(true, NOW_MS - 1_000);
         ledger.spans.set_prefilling(false, NOW_MS);
     }
 }
 
-fn placed(pool: &mut Pool, demand: Demand) -> TargetId {
+fn place(pool: &mut Pool, demand: Demand) -> TargetId {
     assert!(matches!(
         pool.submit(demand, NOW_MS),
         Submitted::Waits { .. }
@@ -116,7 +118,7 @@
     }
 }
 
-fn memory_alone() -> PoolSettings {
+fn without_pauses() -> PoolSettings {
     PoolSettings {
         long_pause_ms: 0,
         ..PoolSettings::default()
@@ -124,45 +126,51 @@
 }
 
 #[test]
-fn sends_a_long_answer_to_the_engine_where_it_does_not_pause_for_too_long() {
-    let mut now = pool(PoolSettings::default());
-    let mut before = pool(memory_alone());
-    for pool in [&mut now, &mut before] {
-        teach(pool, 2.0);
-        reading(pool);
+fn places_a_long_answer_where_its_pauses_stay_within_the_goal() {
+    let mut with_pauses = pool(PoolSettings::default());
+    let mut memory_only = pool(without_pauses());
+    for pool in [&mut with_pauses, &mut memory_only] {
+        train(pool, 2.0);
+        set_prefilling(pool);
     }
-    assert_eq!(placed(&mut before, demand(1, LONG, Some(GOAL_MS))), SLOW);
-    assert_eq!(placed(&mut now, demand(1, LONG, Some(GOAL_MS))), FAST);
+    assert_eq!(
+        place(&mut memory_only, demand(1, LONG, Some(GOAL_MS))),
+        SLOW
+    );
+    assert_eq!(
+        place(&mut with_pauses, demand(1, LONG, Some(GOAL_MS))),
+        FAST
+    );
 }
 
 #[test]
-fn takes_a_short_answer_for_less_in_danger_than_a_long_one() {
+fn a_short_answer_is_less_at_risk_than_a_long_one() {
     let mut pool = pool(PoolSettings::default());
-    teach(&mut pool, 2.0);
-    reading(&mut pool);
-    let view = pool.pause_estimator(NOW_MS);
-    let chance = |tokens| {
-        let pausing = PauseProfile {
+    train(&mut pool, 2.0);
+    set_prefilling(&mut pool);
+    let estimator = pool.pause_estimator(NOW_MS);
+    let risk = |tokens| {
+        let profile = PauseProfile {
             goal_ms: Some(f64::from(GOAL_MS)),
             remaining_tokens: tokens,
             prompt_tokens: 3_000.0,
         };
-        view.long_pauses(pool.engines.get(SLOW).unwrap(), &pausing)
+        estimator.expected_long_pauses(pool.engines.get(SLOW).unwrap(), &profile)
     };
     assert!(
-        chance(8.0) < 0.4 * chance(800.0),
+        risk(8.0) < 0.4 * risk(800.0),
         "{} {}",
-        chance(8.0),
-        chance(800.0)
+        risk(8.0),
+        risk(800.0)
     );
 }
 
 #[test]
-fn reads_no_prompt_beside_a_stream_that_is_at_its_limit() {
-    let mut now = pool(PoolSettings::default());
-    let mut before = pool(memory_alone());
-    for pool in [&mut now, &mut before] {
-        teach(pool, 2.0);
+fn avoids_a_prefill_beside_a_stream_that_is_close_to_its_pause_goal() {
+    let mut with_pauses = pool(PoolSettings::default());
+    let mut memory_only = pool(without_pauses());
+    for pool in [&mut with_pauses, &mut memory_only] {
+        train(pool, 2.0);
         let adopted = Adopted {
             demand: demand(1, LONG, Some(GOAL_MS)),
             target: SLOW,
@@ -170,14 +178,14 @@
         };
         pool.adopt(adopted, NOW_MS);
     }
-    assert_eq!(placed(&mut before, demand(2, SHORT, None)), SLOW);
-    assert_eq!(placed(&mut now, demand(2, SHORT, None)), FAST);
+    assert_eq!(place(&mut memory_only, demand(2, SHORT, None)), SLOW);
+    assert_eq!(place(&mut with_pauses, demand(2, SHORT, None)), FAST);
 }
 
 #[test]
-fn spares_no_stream_that_is_late_already() {
+fn a_stream_that_already_missed_its_pause_goal_is_not_protected() {
     let mut pool = pool(PoolSettings::default());
-    teach(&mut pool, 2.0);
+    train(&mut pool, 2.0);
     let adopted = Adopted {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
@@ -191,37 +199,37 @@
         slowness_percent: 0,
     };
     pool.record_event_gaps(demand(1, LONG, None).permit, gaps, NOW_MS);
-    assert_eq!(placed(&mut pool, demand(2, SHORT, None)), SLOW);
+    assert_eq!(place(&mut pool, demand(2, SHORT, None)), SLOW);
 }
 
 #[test]
-fn decides_as_before_where_engines_are_alike_or_no_pause_is_too_long() {
-    let mut alike = pool(PoolSettings::default());
-    teach(&mut alike, 1.0);
-    reading(&mut alike);
-    assert_eq!(placed(&mut alike, demand(1, LONG, Some(GOAL_MS))), SLOW);
+fn pauses_do_not_affect_placement_if_engines_are_equal_or_without_a_pause_goal() {
+    let mut equal = pool(PoolSettings::default());
+    train(&mut equal, 1.0);
+    set_prefilling(&mut equal);
+    assert_eq!(place(&mut equal, demand(1, LONG, Some(GOAL_MS))), SLOW);
     let mut uneven = pool(PoolSettings::default());
-    teach(&mut uneven, 2.0);
-    reading(&mut uneven);
-    assert_eq!(placed(&mut uneven, demand(1, LONG, None)), SLOW);
+    train(&mut uneven, 2.0);
+    set_prefilling(&mut uneven);
+    assert_eq!(place(&mut uneven, demand(1, LONG, None)), SLOW);
 }
 
 #[test]
-fn decides_by_memory_until_a_new_dispatcher_has_seen_events() {
-    let mut taken_over = pool(PoolSettings::default());
+fn a_new_dispatcher_places_by_memory_until_it_has_observed_events() {
+    let mut new_dispatcher = pool(PoolSettings::default());
     let adopted = Adopted {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
         generated_tokens: 40,
     };
-    taken_over.adopt(adopted, NOW_MS);
+    new_dispatcher.adopt(adopted, NOW_MS);
     assert_eq!(
-        placed(&mut taken_over, demand(2, LONG, Some(GOAL_MS))),
+        place(&mut new_dispatcher, demand(2, LONG, Some(GOAL_MS))),
         SLOW
     );
-    teach(&mut taken_over, 2.0);
+    train(&mut new_dispatcher, 2.0);
     assert_eq!(
-        placed(&mut taken_over, demand(3, LONG, Some(GOAL_MS))),
+        place(&mut new_dispatcher, demand(3, LONG, Some(GOAL_MS))),
         FAST
     );
 }
--- a/components/policy/src/pace/mod.rs
+++ b/components/policy/src/pace/mod.rs
@@ -1,8 +1,8 @@
-//! How fast each engine makes events: its own speed, and how it is disturbed, apart from the load on it.
+//! Pace of engines: how fast each one emits events, apart from the load on it, and how disturbances slow it down.
 //!
-//! Load patterns that this answers: engines of unlike machines behind one name; engines that share their machines with
-//! others, and are slow for a part of a second now and then; prompts that are read beside streams, which take longer
-//! steps meanwhile; figures of engines about themselves that are missing, stand still or are false.
+//! Load patterns that this covers: different hardware behind one name; engines that share their machines with others and
+//! slow down for a part of a second now and then; prefills beside running streams, which lengthen the steps meanwhile;
+//! metrics of engines about themselves that are missing, stale or wrong.
 
 pub(crate) mod disturbance;
 pub(crate) mod impact;
--- a/components/policy/src/pace/model.rs
+++ b/components/policy/src/pace/model.rs
@@ -1,73 +1,73 @@
-//! What a pool knows of pace as a whole, against which each engine is held.
+//! Pace of the engines of a pool, and the baseline that each engine is compared with.
 
-use crate::pace::disturbance::{Disturbance, Disturbances, Excess};
+use crate::pace::disturbance::{Disturbance, DisturbanceStats, GapRatios};
 use crate::pace::observation::{EventGaps, PaceObservation};
-use crate::pace::relative_pace::{Speed, Usual};
+use crate::pace::relative_pace::{PaceBaseline, RelativePace};
 use crate::pace::steps::{Load, StepModel};
 
-/// How often what is usual is worked out anew.
-const USUAL_EACH_MS: u64 = 250;
-/// Fewer events say little: the first may have been read beside, or the last cut short.
-const EVENTS_MIN: u16 = 2;
+/// Interval at which the baseline is computed anew.
+const BASELINE_INTERVAL_MS: u64 = 250;
+/// Fewer events say little: the first may fall into a prefill, or the last be cut short.
+const MIN_EVENTS: u16 = 2;
 
 /// The pace of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct EnginePace {
-    /// Its own speed.
-    pub speed: Speed,
+    /// Its own pace, without load and disturbances.
+    pub relative_pace: RelativePace,
     /// Its disturbances.
-    pub disturbances: Disturbances,
-    /// Mean error of what was predicted of its events, as a share of what was seen.
+    pub disturbances: DisturbanceStats,
+    /// Mean error of its predicted times between events, as a share of the observed ones.
     pub error_share: f64,
-    /// How it is expected to be disturbed, worked out as it is told of.
+    /// Its expected disturbances, computed with each report.
     expected: Option<Disturbance>,
 }
 
-/// The pace of the pool.
+/// The pace of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct PaceModel {
     steps: StepModel,
-    disturbances: Disturbances,
-    /// How an engine is disturbed of which nothing was told.
+    disturbances: DisturbanceStats,
+    /// Expected disturbances of an engine without reports.
     expected: Option<Disturbance>,
-    usual: Usual,
-    usual_ms: Option<u64>,
+    baseline: PaceBaseline,
+    baseline_updated_ms: Option<u64>,
 }
 
 impl PaceModel {
-    /// Whether what is usual is to be worked out anew by [`PaceModel::update_baseline`].
-    pub fn is_due(&self, now_ms: u64) -> bool {
-        self.usual_ms
-            .is_none_or(|at_ms| now_ms >= at_ms + USUAL_EACH_MS)
+    /// Whether the baseline should be computed anew by [`PaceModel::update_baseline`].
+    pub fn is_baseline_due(&self, now_ms: u64) -> bool {
+        self.baseline_updated_ms
+            .is_none_or(|at_ms| now_ms >= at_ms + BASELINE_INTERVAL_MS)
     }
 
-    /// Takes over what is usual.
+    /// Computes the baseline from the paces of all engines.
     pub fn update_baseline<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a EnginePace> + Clone,
         now_ms: u64,
     ) {
-        self.usual = Usual::of(engines.map(|engine| &engine.speed));
-        self.usual_ms = Some(now_ms);
+        self.baseline = PaceBaseline::from_paces(engines.map(|engine| &engine.relative_pace));
+        self.baseline_updated_ms = Some(now_ms);
     }
 
-    /// Whether enough was seen to decide by it.
-    pub fn is_settled(&self) -> bool {
-        self.steps.is_settled()
+    /// Whether there are enough observations to base decisions on.
+    pub fn is_trained(&self) -> bool {
+        self.steps.is_trained()
     }
 
-    /// The speed of an engine; 1 is usual, 2 takes twice as long.
-    pub fn speed(&self, engine: &EnginePace, now_ms: u64) -> f64 {
-        engine.speed.relative(&self.usual, now_ms)
+    /// Time per event of an engine relative to the baseline: 1 is the baseline, 2 takes twice as long.
+    pub fn relative_pace(&self, engine: &EnginePace, now_ms: u64) -> f64 {
+        engine.relative_pace.ratio(&self.baseline, now_ms)
     }
 
-    /// Time from one event to the next at an engine that is not disturbed.
+    /// Predicted time from one event to the next at an engine that is not disturbed.
     pub fn event_ms(&self, engine: &EnginePace, load: Load, now_ms: u64) -> Option<f64> {
-        let usual_ms = self.steps.event_ms(load)?;
-        Some(usual_ms * self.speed(engine, now_ms))
+        let baseline_ms = self.steps.event_ms(load)?;
+        Some(baseline_ms * self.relative_pace(engine, now_ms))
     }
 
-    /// How an engine is disturbed; none where nothing was.
+    /// Expected disturbances of an engine; none if none were observed.
     pub fn disturbance(&self, engine: &EnginePace) -> Option<Disturbance> {
         match engine.disturbances.is_known() {
             true => engine.expected,
@@ -75,71 +75,75 @@
         }
     }
 
-    /// Takes in what was seen. Returns the mean time from one event to the next that was expected.
+    /// Adds an observation. Returns the mean time from one event to the next that was predicted for it.
     pub fn observe(
         &mut self,
         engine: &mut EnginePace,
-        observed: &PaceObservation,
+        observation: &PaceObservation,
         now_ms: u64,
     ) -> Option<f64> {
-        let gaps = &observed.gaps;
+        let gaps = &observation.gaps;
         if gaps.slowness_percent > 0 {
-            let said = f64::from(gaps.slowness_percent) / 100.0;
-            engine.speed.said(said, now_ms);
+            let reported = f64::from(gaps.slowness_percent) / 100.0;
+            engine.relative_pace.record_reported(reported, now_ms);
         }
-        if gaps.events < EVENTS_MIN || gaps.mean_ms == 0 {
+        if gaps.events < MIN_EVENTS || gaps.mean_ms == 0 {
             return None;
         }
         let load = Load {
-            streams: f64::from(observed.streams),
-            prefill_share: observed.prefill_share,
+            streams: f64::from(observation.streams),
+            prefill_share: observation.prefill_share,
         };
-        let seen_ms = f64::from(gaps.mean_ms);
-        let speed = self.speed(engine, now_ms);
-        let expected_ms = self.compare(engine, observed, load, now_ms);
-        self.steps.observe(load, seen_ms / speed);
+        let observed_ms = f64::from(gaps.mean_ms);
+        let relative_pace = self.relative_pace(engine, now_ms);
+        let expected_ms = self.compare(engine, observation, load, now_ms);
+        self.steps.observe(load, observed_ms / relative_pace);
         expected_ms
     }
 
+    /// Compares an observation with its prediction, and updates the engine's pace, error and disturbances by it. Returns
+    /// the prediction.
     fn compare(
         &mut self,
         engine: &mut EnginePace,
-        observed: &PaceObservation,
+        observation: &PaceObservation,
         load: Load,
         now_ms: u64,
     ) -> Option<f64> {
-        if !self.steps.is_settled() {
+        if !self.steps.is_trained() {
             return None;
         }
-        let seen_ms = f64::from(observed.gaps.mean_ms);
-        let usual_ms = self.steps.event_ms(load)?;
-        let expected_ms = usual_ms * self.speed(engine, now_ms);
-        engine.speed.seen(seen_ms / usual_ms, now_ms);
-        let error_share = (expected_ms - seen_ms).abs() / seen_ms;
+        let observed_ms = f64::from(observation.gaps.mean_ms);
+        let baseline_ms = self.steps.event_ms(load)?;
+        let expected_ms = baseline_ms * self.relative_pace(engine, now_ms);
+        engine
+            .relative_pace
+            .record_observed(observed_ms / baseline_ms, now_ms);
+        let error_share = (expected_ms - observed_ms).abs() / observed_ms;
         engine.error_share += ERROR_WEIGHT * (error_share - engine.error_share);
-        let longest = Load {
-            prefill_share: f64::from(u8::from(observed.overlaps_prefill)),
+        let peak_load = Load {
+            prefill_share: f64::from(u8::from(observation.overlaps_prefill)),
             ..load
         };
-        let longest_ms = self.event_ms(engine, longest, now_ms)?;
-        let excess = Excess {
-            mean: seen_ms / expected_ms,
-            longest: f64::from(observed.gaps.longest_ms) / longest_ms,
-            over_ms: over_ms(&observed.gaps),
+        let longest_ms = self.event_ms(engine, peak_load, now_ms)?;
+        let ratios = GapRatios {
+            mean: observed_ms / expected_ms,
+            longest: f64::from(observation.gaps.longest_ms) / longest_ms,
+            span_ms: span_ms(&observation.gaps),
         };
-        engine.disturbances.observe(&excess);
-        self.disturbances.observe(&excess);
+        engine.disturbances.observe(&ratios);
+        self.disturbances.observe(&ratios);
         engine.expected = engine.disturbances.expected(&self.disturbances);
-        self.expected = Disturbances::default().expected(&self.disturbances);
+        self.expected = DisturbanceStats::default().expected(&self.disturbances);
         Some(expected_ms)
     }
 }
 
-/// Weight of one error in an engine's mean error: some ten tellings.
+/// Weight of one error in an engine's mean error: a mean over some ten reports.
 const ERROR_WEIGHT: f64 = 0.1;
 
-/// Time that a telling covers.
-pub(crate) fn over_ms(gaps: &EventGaps) -> f64 {
+/// Time that a report covers.
+pub(crate) fn span_ms(gaps: &EventGaps) -> f64 {
     f64::from(gaps.mean_ms) * f64::from(gaps.events)
 }
 
--- a/components/policy/src/pace/observation.rs
+++ b/components/policy/src/pace/observation.rs
@@ -1,44 +1,45 @@
-//! What is seen of an engine's pace: the times between the events of one stream, and the load on it meanwhile.
+//! Observations of an engine's pace: the gaps between the events of one stream, and the load on the engine meanwhile.
 
-use crate::pace::model::over_ms;
+use crate::pace::model::span_ms;
 use crate::pool::Pool;
 use prelude::{PermitId, TargetId};
 
-/// The times between events of one stream since they were last told.
+/// Gaps between the events of one stream since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventGaps {
-    /// Events that came after another.
+    /// Events that followed another one.
     pub events: u16,
     /// Mean time from one event to the next.
     pub mean_ms: u16,
     /// Longest time from one event to the next.
     pub longest_ms: u16,
-    /// How slow the engine said that work is there, 100 as usual; 0 where it said nothing.
+    /// Slowness that the engine reported, 100 for its normal pace; 0 if it reported none.
     pub slowness_percent: u16,
 }
 
-/// The same with the load that the engine had.
+/// Gaps between the events of one stream, with the load on its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceObservation {
     /// The engine.
     pub target: TargetId,
-    /// The times.
+    /// The gaps.
     pub gaps: EventGaps,
-    /// Streams that it had.
+    /// Streams that the engine had.
     pub streams: u32,
-    /// Share of the time in which it read a prompt.
+    /// Share of the time in which it was prefilling a prompt.
     pub prefill_share: f64,
-    /// Whether it read one at all, meanwhile or shortly before or after.
+    /// Whether it was prefilling at all, meanwhile or shortly before or after.
     pub overlaps_prefill: bool,
-    /// The mean time from one event to the next that was expected; none where too little is known.
+    /// The mean time from one event to the next that was predicted; none where too little is known.
     pub expected_ms: Option<f64>,
 }
 
-/// News of a prompt that is read, and of events, come so late to a dispatcher at the most.
-const NEWS_MS: u64 = 150;
+/// Upper bound on the delay with which reports of prefills and of events reach a dispatcher.
+const REPORT_DELAY_MS: u64 = 150;
 
 impl Pool {
-    /// Takes in how fast the events of a stream came. Returns what that says of its engine.
+    /// Records the gaps between a stream's events. Returns the resulting observation of its engine; none if the report is
+    /// empty or the permit is unknown.
     pub fn record_event_gaps(
         &mut self,
         permit: PermitId,
@@ -52,24 +53,24 @@
         let stream = self.streams.get_mut(key)?;
         stream.longest_ms = stream.longest_ms.max(u32::from(gaps.longest_ms));
         let target = stream.target;
-        if self.settings.learns_pace && self.pace_model.is_due(now_ms) {
+        if self.settings.learns_pace && self.pace_model.is_baseline_due(now_ms) {
             let engines = self.engines.iter().map(|ledger| &ledger.pace);
             self.pace_model.update_baseline(engines, now_ms);
         }
         let ledger = self.engines.get_mut(target)?;
-        let over_ms = over_ms(&gaps) as u64;
-        let mut observed = PaceObservation {
+        let span_ms = span_ms(&gaps) as u64;
+        let mut observation = PaceObservation {
             target,
             gaps,
             streams: ledger.streams.len() as u32,
-            prefill_share: ledger.spans.share(over_ms, now_ms),
-            overlaps_prefill: ledger.spans.share(over_ms + NEWS_MS, now_ms) > 0.0,
+            prefill_share: ledger.spans.share(span_ms, now_ms),
+            overlaps_prefill: ledger.spans.share(span_ms + REPORT_DELAY_MS, now_ms) > 0.0,
             expected_ms: None,
         };
         if self.settings.learns_pace {
             let pace = &mut ledger.pace;
-            observed.expected_ms = self.pace_model.observe(pace, &observed, now_ms);
+            observation.expected_ms = self.pace_model.observe(pace, &observation, now_ms);
         }
-        Some(observed)
+        Some(observation)
     }
 }
--- a/components/policy/src/pace/relative_pace.rs
+++ b/components/policy/src/pace/relative_pace.rs
@@ -1,65 +1,66 @@
-//! An engine's own speed, which lasts for its life. A disturbance only makes events slower, so a low quantile of what was
-//! seen lately is the engine itself; what it says of itself counts until enough of its events were seen.
+//! An engine's own pace, which is constant over its lifetime. Disturbances only slow events down, so a low quantile of
+//! recent observations is the engine's own pace. The slowness that it reports itself counts until enough of its events
+//! were observed.
 
 use std::collections::VecDeque;
 
 /// Observations that are kept: each stream reports about one a second.
-const KEPT: usize = 12;
-/// Quantile of them, from the fastest, that is taken for the engine's own speed: it stays as it is even if the engine is
-/// disturbed for a third of the time.
-const QUANTILE: f64 = 0.3;
-/// Tellings from which events outweigh what the engine says of itself.
-const TRUSTED: usize = 4;
-/// Time without an event after which the speed's difference from the usual counts half, so that the engine is tried again.
+const WINDOW_LEN: usize = 12;
+/// Quantile of the observations, from the fastest, that is taken as the engine's own pace: it does not change even if the
+/// engine is disturbed for a third of the time.
+const OWN_PACE_QUANTILE: f64 = 0.3;
+/// Observations from which on the slowness that the engine reports itself is ignored.
+const MIN_OBSERVATIONS: usize = 4;
+/// Time without an event after which the deviation from the baseline is halved, so that the engine is tried again.
 const HALF_LIFE_MS: f64 = 20_000.0;
-/// Quantile of the known engines' speeds, from the fastest, that an engine of which nothing is known is taken to have: it
-/// is empty, and as a usual one it would get streams that it may be too slow for.
-const UNKNOWN: f64 = 0.75;
-/// Speeds closer to the usual than this are the usual: the figures are not more exact.
-const USUAL: std::ops::RangeInclusive<f64> = 0.87..=1.15;
+/// Quantile of the known engines' paces, from the fastest, that is assumed for an engine of unknown pace. Such an engine is
+/// empty; assumed at the baseline, it would get streams that it may be too slow for.
+const UNKNOWN_PACE_QUANTILE: f64 = 0.75;
+/// Paces within this range count as the baseline: the observations are no more precise.
+const BASELINE_RANGE: std::ops::RangeInclusive<f64> = 0.87..=1.15;
 
-/// The last observations, with their low quantile worked out as they come: decisions read it often.
+/// The last observations and their low quantile, which is computed on insertion because every decision reads it.
 #[derive(Clone, Debug, Default)]
-struct Recent {
-    kept: VecDeque<f64>,
-    own: Option<f64>,
+struct RecentQuantile {
+    values: VecDeque<f64>,
+    quantile: Option<f64>,
 }
 
-impl Recent {
-    fn keep(&mut self, value: f64) {
-        self.kept.push_back(value);
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+impl RecentQuantile {
+    fn push(&mut self, value: f64) {
+        self.values.push_back(value);
+        if self.values.len() > WINDOW_LEN {
+            self.values.pop_front();
         }
-        let mut sorted: Vec<f64> = self.kept.iter().copied().collect();
+        let mut sorted: Vec<f64> = self.values.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
-        let at = ((sorted.len() - 1) as f64 * QUANTILE) as usize;
-        self.own = Some(sorted[at]);
+        let index = ((sorted.len() - 1) as f64 * OWN_PACE_QUANTILE) as usize;
+        self.quantile = Some(sorted[index]);
     }
 }
 
-/// What is known of one engine's speed. 1 is usual; 2 takes twice as long.
+/// Time per event of one engine relative to the baseline of its pool: 1 is the baseline, 2 takes twice as long.
 #[derive(Clone, Debug, Default)]
-pub struct Speed {
-    seen: Recent,
-    said: Recent,
-    heard_ms: u64,
+pub struct RelativePace {
+    observed: RecentQuantile,
+    reported: RecentQuantile,
+    updated_ms: u64,
 }
 
-/// What is usual among the engines of a pool.
+/// Median pace of the engines of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Usual {
-    seen: f64,
-    said: f64,
-    /// Speed that an engine is taken to have while nothing is known of it.
+pub struct PaceBaseline {
+    observed: f64,
+    reported: f64,
+    /// Pace that is assumed for an engine while nothing is known of it.
     unknown: f64,
 }
 
-impl Default for Usual {
+impl Default for PaceBaseline {
     fn default() -> Self {
         Self {
-            seen: 1.0,
-            said: 1.0,
+            observed: 1.0,
+            reported: 1.0,
             unknown: 1.0,
         }
     }
@@ -70,64 +71,70 @@
     values.get(values.len() / 2).copied().unwrap_or(1.0)
 }
 
-impl Usual {
-    /// The middle one of all engines, by their events and by their own word.
-    pub fn of<'a>(speeds: impl Iterator<Item = &'a Speed> + Clone) -> Self {
-        let seen = speeds.clone().filter_map(|speed| speed.seen.own);
-        let said = speeds.clone().filter_map(|speed| speed.said.own);
-        let mut usual = Self {
-            seen: median(seen.collect()),
-            said: median(said.collect()),
+impl PaceBaseline {
+    /// The medians over all engines, separately for observed events and for the slowness that engines report.
+    pub fn from_paces<'a>(paces: impl Iterator<Item = &'a RelativePace> + Clone) -> Self {
+        let observed = paces.clone().filter_map(|pace| pace.observed.quantile);
+        let reported = paces.clone().filter_map(|pace| pace.reported.quantile);
+        let mut baseline = Self {
+            observed: median(observed.collect()),
+            reported: median(reported.collect()),
             unknown: 1.0,
         };
-        let mut known: Vec<f64> = speeds.filter_map(|speed| speed.raw(&usual)).collect();
+        let mut known: Vec<f64> = paces.filter_map(|pace| pace.undecayed(&baseline)).collect();
         known.sort_by(f64::total_cmp);
-        let at = (known.len() as f64 * UNKNOWN) as usize;
-        usual.unknown = known.get(at).copied().unwrap_or(1.0).max(1.0);
-        usual
+        let index = (known.len() as f64 * UNKNOWN_PACE_QUANTILE) as usize;
+        baseline.unknown = known.get(index).copied().unwrap_or(1.0).max(1.0);
+        baseline
     }
 }
 
-impl Speed {
-    /// Takes in how long its events took, relative to an engine of usual speed under the same load.
-    pub fn seen(&mut self, relative: f64, now_ms: u64) {
-        self.seen.keep(relative);
-        self.heard_ms = now_ms;
+impl RelativePace {
+    /// Records the time per event that was observed, relative to an engine at the baseline under the same load.
+    pub fn record_observed(&mut self, ratio: f64, now_ms: u64) {
+        self.observed.push(ratio);
+        self.updated_ms = now_ms;
     }
 
-    /// Takes in how slow it says that work is there.
-    pub fn said(&mut self, relative: f64, now_ms: u64) {
-        self.said.keep(relative);
-        self.heard_ms = now_ms;
+    /// Records the slowness that the engine reports, 1 for its normal pace.
+    pub fn record_reported(&mut self, ratio: f64, now_ms: u64) {
+        self.reported.push(ratio);
+        self.updated_ms = now_ms;
     }
 
-    /// Its speed by all that is known; none where nothing is.
-    fn raw(&self, usual: &Usual) -> Option<f64> {
-        let seen = self.seen.own.map(|seen| seen / usual.seen);
-        let said = self.said.own.map(|said| said / usual.said);
-        match self.seen.kept.len() >= TRUSTED {
-            true => seen,
-            // A disturbance only makes either slower.
-            false => match (seen, said) {
-                (Some(seen), Some(said)) => Some(seen.min(said)),
-                (seen, said) => seen.or(said),
+    /// The pace without decay; none if nothing is known.
+    fn undecayed(&self, baseline: &PaceBaseline) -> Option<f64> {
+        let observed = self
+            .observed
+            .quantile
+            .map(|observed| observed / baseline.observed);
+        let reported = self
+            .reported
+            .quantile
+            .map(|reported| reported / baseline.reported);
+        match self.observed.values.len() >= MIN_OBSERVATIONS {
+            true => observed,
+            // The smaller of the two: a disturbance only raises either.
+            false => match (observed, reported) {
+                (Some(observed), Some(reported)) => Some(observed.min(reported)),
+                (observed, reported) => observed.or(reported),
             },
         }
     }
 
-    /// Its speed relative to the pool's, drawn towards the usual the longer nothing was heard of it.
-    pub fn relative(&self, usual: &Usual, now_ms: u64) -> f64 {
-        let relative = match self.raw(usual) {
-            Some(raw) => {
-                let silent_ms = now_ms.saturating_sub(self.heard_ms) as f64;
-                let kept = (-silent_ms / HALF_LIFE_MS * std::f64::consts::LN_2).exp();
-                1.0 + (raw - 1.0) * kept
+    /// The pace relative to the baseline, which it approaches with the time since the last record.
+    pub fn ratio(&self, baseline: &PaceBaseline, now_ms: u64) -> f64 {
+        let ratio = match self.undecayed(baseline) {
+            Some(undecayed) => {
+                let silent_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+                let decay = (-silent_ms / HALF_LIFE_MS * std::f64::consts::LN_2).exp();
+                1.0 + (undecayed - 1.0) * decay
             }
-            None => usual.unknown,
+            None => baseline.unknown,
         };
-        match USUAL.contains(&relative) {
+        match BASELINE_RANGE.contains(&ratio) {
             true => 1.0,
-            false => relative,
+            false => ratio,
         }
     }
 }
--- a/components/policy/src/pace/spans_tests.rs
+++ b/components/policy/src/pace/spans_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn tells_the_share_of_the_last_time_in_which_an_engine_read() {
+fn returns_the_share_of_a_window_in_which_an_engine_was_prefilling() {
     let mut spans = PrefillSpans::default();
     spans.set_prefilling(true, 1_000);
     spans.set_prefilling(true, 1_050);
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn forgets_what_is_long_past() {
+fn drops_old_spans() {
     let mut spans = PrefillSpans::default();
-    for at in 0..100 {
-        spans.set_prefilling(at % 2 == 0, at * 1_000);
+    for index in 0..100 {
+        spans.set_prefilling(index % 2 == 0, index * 1_000);
     }
-    assert!(spans.over.len() <= 3);
+    assert!(spans.finished.len() <= 3);
 }
--- a/components/policy/src/pace/status.rs
+++ b/components/policy/src/pace/status.rs
@@ -1,4 +1,4 @@
-//! The pace of an engine as operators see it.
+//! The pace of an engine as shown to operators.
 
 use crate::pace::impact::PauseProfile;
 use crate::placement::ledger::{EngineLedger, EngineState};
@@ -6,53 +6,53 @@
 use prelude::{PermitId, TargetId};
 use serde::{Deserialize, Serialize};
 
-/// Tokens of the prompt that is assumed where it is shown why an engine is spared.
+/// Prompt length assumed for showing why requests avoid an engine.
 const PROMPT_TOKENS: f64 = 2_000.0;
-/// Pauses beyond their goal, expected of one more prompt, from which an engine is called spared.
-const SPARED: f64 = 0.1;
+/// An engine is shown as avoided if one more prompt is expected to cause this many pauses beyond their goal.
+const AVOIDED_LONG_PAUSES: f64 = 0.1;
 
-/// How fast an engine makes events, by what its dispatcher knows.
+/// The pace of an engine as its dispatcher knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PaceStatus {
-    /// Its own speed; 1 is usual, 2 takes twice as long.
+    /// Its own time per event relative to the pool's baseline; 2 takes twice as long.
     pub speed: f64,
     /// Time from one event to the next with one stream more.
     pub event_ms: f64,
-    /// The same while a prompt is read beside.
+    /// The same while a prompt is prefilled.
     pub beside_ms: f64,
     /// Share of the time in which it is disturbed.
     pub disturbed_share: f64,
-    /// How many times longer events take meanwhile.
+    /// How many times longer events take while it is disturbed.
     pub disturbed_strength: f64,
-    /// How long a disturbance lasts.
+    /// Mean duration of a disturbance.
     pub disturbed_ms: f64,
-    /// Mean error of the predicted events, as a share of what was seen.
+    /// Mean error of its predicted times between events, as a share of the observed ones.
     pub error_share: f64,
     /// Streams with a permit.
     pub streams: u32,
     /// Share of the pool's streams.
     pub streams_share: f64,
-    /// Pauses beyond their goal that one more prompt would make there.
+    /// Expected number of pauses beyond their goal if one more prompt is placed there.
     pub long_pauses: f64,
-    /// Why it is spared; none where it is not.
+    /// Why requests avoid the engine; none if they don't.
     pub spared: Option<String>,
 }
 
-/// A pause of a stream that ended: what was foretold where it was placed, and what was seen.
+/// The longest pause of a stream that ended: predicted at placement, and observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PausePrediction {
     /// The engine.
     pub target: TargetId,
-    /// As foretold.
+    /// As predicted.
     pub predicted_ms: u32,
-    /// As seen.
+    /// As observed.
     pub observed_ms: u32,
-    /// Whether it was beyond its caller's goal.
+    /// Whether it was longer than its caller's goal.
     pub exceeds_goal: bool,
 }
 
 impl Pool {
-    /// The longest pause of a stream, as foretold and as seen; none where nothing was foretold or seen.
+    /// The longest pause of a stream, predicted and observed; none if there was no prediction or no pause.
     pub fn pause_prediction(&self, permit: PermitId) -> Option<PausePrediction> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         let goal_ms = stream.pause_goal_ms;
@@ -64,50 +64,51 @@
         })
     }
 
-    /// The pace of an engine; none where it is not known.
+    /// The pace of an engine; none if the engine is unknown.
     pub fn pace_status(&self, target: TargetId, now_ms: u64) -> Option<PaceStatus> {
         let ledger = self.engines.get(target)?;
-        let view = self.pause_estimator(now_ms);
-        let feel = view.feel(ledger, PROMPT_TOKENS);
+        let estimator = self.pause_estimator(now_ms);
+        let timing = estimator.event_timing(ledger, PROMPT_TOKENS);
         let new = PauseProfile {
             goal_ms: None,
             remaining_tokens: 0.0,
             prompt_tokens: PROMPT_TOKENS,
         };
-        let long_pauses = match view.decides() {
-            true => view.long_pauses(ledger, &new),
+        let long_pauses = match estimator.is_active() {
+            true => estimator.expected_long_pauses(ledger, &new),
             false => 0.0,
         };
         let disturbance = self.pace_model.disturbance(&ledger.pace);
         let all = self.streams.len().max(1) as f64;
         Some(PaceStatus {
-            speed: self.pace_model.speed(&ledger.pace, now_ms),
-            event_ms: feel.map_or(0.0, |feel| feel.event_ms),
-            beside_ms: feel.map_or(0.0, |feel| feel.beside_ms),
-            disturbed_share: disturbance.map_or(0.0, |seen| seen.share),
-            disturbed_strength: disturbance.map_or(1.0, |seen| seen.strength),
-            disturbed_ms: disturbance.map_or(0.0, |seen| seen.spell_ms),
+            speed: self.pace_model.relative_pace(&ledger.pace, now_ms),
+            event_ms: timing.map_or(0.0, |timing| timing.event_ms),
+            beside_ms: timing.map_or(0.0, |timing| timing.prefill_event_ms),
+            disturbed_share: disturbance.map_or(0.0, |expected| expected.share),
+            disturbed_strength: disturbance.map_or(1.0, |expected| expected.slowdown),
+            disturbed_ms: disturbance.map_or(0.0, |expected| expected.duration_ms),
             error_share: ledger.pace.error_share,
             streams: ledger.streams.len() as u32,
             streams_share: ledger.streams.len() as f64 / all,
             long_pauses,
-            spared: spared(ledger, long_pauses, now_ms),
+            spared: avoided_reason(ledger, long_pauses, now_ms),
         })
     }
 }
 
-fn spared(ledger: &EngineLedger, long_pauses: f64, now_ms: u64) -> Option<String> {
+fn avoided_reason(ledger: &EngineLedger, long_pauses: f64, now_ms: u64) -> Option<String> {
     if ledger.state != EngineState::Live {
-        return Some("it takes no new work".into());
+        return Some("it accepts no new requests".into());
     }
     if !ledger.bears_one_more(now_ms) {
-        return Some("it is cold and has what it bears".into());
+        return Some("it is at its cold-start limit or its rate limit".into());
     }
     if ledger.is_backed_up(now_ms) {
-        return Some("requests wait there for memory".into());
+        return Some("requests are queued there for memory".into());
     }
-    let is_spared = long_pauses >= SPARED;
-    is_spared.then(|| format!("a prompt read there would make {long_pauses:.1} pauses too long"))
+    let is_avoided = long_pauses >= AVOIDED_LONG_PAUSES;
+    is_avoided
+        .then(|| format!("one more prefill there would make {long_pauses:.1} pauses too long"))
 }
 
 #[cfg(test)]
--- a/components/policy/src/pace/status_tests.rs
+++ b/components/policy/src/pace/status_tests.rs
@@ -6,7 +6,7 @@
 const ENGINE: TargetId = TargetId(1);
 
 #[test]
-fn shows_an_engine_of_which_nothing_is_known_as_usual() {
+fn shows_an_engine_without_observations_at_the_baseline() {
     let mut pool = Pool::new(PoolSettings::default());
     pool.set_engines(&[EngineInfo {
         id: ENGINE,
@@ -14,13 +14,13 @@
         data_centre: DataCentreId(0),
         cold_rate_per_s: None,
     }]);
-    let shown = pool.pace_status(ENGINE, 0).unwrap();
+    let status = pool.pace_status(ENGINE, 0).unwrap();
     assert_eq!(
-        (shown.speed, shown.disturbed_share, shown.spared),
+        (status.speed, status.disturbed_share, status.spared),
         (1.0, 0.0, None)
     );
     assert_eq!(pool.pace_status(TargetId(2), 0), None);
     pool.set_state(ENGINE, EngineState::Leaving);
-    let shown = pool.pace_status(ENGINE, 0).unwrap();
-    assert_eq!(shown.spared.as_deref(), Some("it takes no new work"));
+    let status = pool.pace_status(ENGINE, 0).unwrap();
+    assert_eq!(status.spared.as_deref(), Some("it accepts no new requests"));
 }
--- a/components/policy/src/pace/steps.rs
+++ b/components/policy/src/pace/steps.rs
@@ -1,107 +1,109 @@
-//! How long an engine of usual speed takes from one event to the next, by the streams that it has and the prompts that
-//! it reads: least squares with exponential forgetting, of parts that are never below 0. What the loads seen lately do not tell
-//! apart is drawn to 0: forgetting alone would leave it to chance, and foretell pauses that no engine makes.
+//! Predicts the time from one event to the next at an engine of baseline pace, from its streams and the prompts that it
+//! prefills: least squares with exponential forgetting, a ridge penalty, and coefficients that are never negative. A
+//! coefficient that recent loads do not determine shrinks to 0: with forgetting alone it would drift at random, and predict
+//! pauses that no engine makes.
 
-/// What is left of an observation's weight each time a new one comes: it counts half after 69 of them, a second of
-/// a busy pool.
-const FORGETTING: f64 = 0.99;
-/// Weight, in squares of its own unit, with which each part is drawn to 0: none for what an event takes by itself, for each stream
-/// and for reading less than a few observations that tell it.
-const DRAWN: [f64; 3] = [0.0, 12.0, 0.2];
-/// Observations before one may be told from the others as disturbed.
-const SETTLED: u32 = 20;
-/// An event that takes this many times what is expected tells of a disturbance, not of load.
+/// Factor on the weight of older observations with each new one: it halves after 69 of them, a second of a busy pool.
+const DECAY: f64 = 0.99;
+/// Ridge penalty on each coefficient, in squares of its feature's unit: none on the constant time of an event; for streams
+/// and prefill it weighs less than a few observations that determine the coefficient.
+const RIDGE: [f64; 3] = [0.0, 12.0, 0.2];
+/// Observations before others can be classified as disturbed.
+const MIN_OBSERVATIONS: u32 = 20;
+/// An event that takes this many times the predicted time indicates a disturbance, not load.
 pub(crate) const DISTURBED_RATIO: f64 = 1.5;
-/// After so many disturbed observations in a row, over all engines, it is the expectation that is wrong.
-const DISTURBED_IN_A_ROW: u32 = 100;
+/// After more disturbed observations in a row than this, over all engines, the prediction is taken to be wrong.
+const MAX_DISTURBED_IN_A_ROW: u32 = 100;
 
-/// Streams and share of the time spent on reading.
+/// Load on an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Streams that run.
+    /// Running streams.
     pub streams: f64,
-    /// Share of the time in which a prompt is read beside them.
+    /// Share of the time in which a prompt is prefilled beside them.
     pub prefill_share: f64,
 }
 
 impl Load {
-    fn parts(self) -> [f64; 3] {
+    fn features(self) -> [f64; 3] {
         [1.0, self.streams, self.prefill_share]
     }
 }
 
-/// The time from one event to the next at usual speed.
+/// Linear model of the time from one event to the next at baseline pace.
 #[derive(Clone, Debug, Default)]
 pub struct StepModel {
-    /// Milliseconds by themselves, for each stream, and for reading.
-    parts_ms: [f64; 3],
-    /// Sums of the products of loads, and of loads with times.
-    loads: [[f64; 3]; 3],
-    times: [f64; 3],
-    seen: u32,
+    /// Milliseconds for the event itself, for each stream, and for constant prefill.
+    coefficients_ms: [f64; 3],
+    /// Decayed sums of the products of features, and of features with times: the normal equations.
+    feature_products: [[f64; 3]; 3],
+    time_products: [f64; 3],
+    observations: u32,
     disturbed_in_a_row: u32,
 }
 
 impl StepModel {
-    /// Whether enough was seen to decide by it.
-    pub fn is_settled(&self) -> bool {
-        self.seen >= SETTLED
+    /// Whether there are enough observations to base decisions on.
+    pub fn is_trained(&self) -> bool {
+        self.observations >= MIN_OBSERVATIONS
     }
 
-    /// Time from one event to the next at usual speed, undisturbed; none before any was seen.
+    /// Time from one event to the next at baseline pace, undisturbed; none before the first observation.
     pub fn event_ms(&self, load: Load) -> Option<f64> {
-        let event_ms = dot(&self.parts_ms, &load.parts());
-        (self.seen > 0 && event_ms > 0.0).then_some(event_ms)
+        let event_ms = dot(&self.coefficients_ms, &load.features());
+        (self.observations > 0 && event_ms > 0.0).then_some(event_ms)
     }
 
-    /// Takes in the mean time of some events, as it would have been at usual speed.
+    /// Adds an observation of the mean time from one event to the next, scaled to baseline pace.
     pub fn observe(&mut self, load: Load, event_ms: f64) {
-        let Some(event_ms) = self.within_span(load, event_ms) else {
+        let Some(event_ms) = self.without_outlier(load, event_ms) else {
             return;
         };
-        self.seen += 1;
-        let input = load.parts();
-        for (row, part) in input.iter().enumerate() {
-            self.times[row] = self.times[row] * FORGETTING + part * event_ms;
-            for (at, other) in input.iter().enumerate() {
-                self.loads[row][at] = self.loads[row][at] * FORGETTING + part * other;
+        self.observations += 1;
+        let features = load.features();
+        for (row, feature) in features.iter().enumerate() {
+            self.time_products[row] = self.time_products[row] * DECAY + feature * event_ms;
+            for (column, other) in features.iter().enumerate() {
+                self.feature_products[row][column] =
+                    self.feature_products[row][column] * DECAY + feature * other;
             }
         }
-        self.parts_ms = self.fitted();
+        self.coefficients_ms = self.fit();
     }
 
-    /// The parts that explain best what was seen; those that would be below 0 are 0, and the others are fitted without them.
-    fn fitted(&self) -> [f64; 3] {
-        let mut held = [false; 3];
+    /// The coefficients that fit the observations best. Those that would be negative are fixed at 0, and the others are
+    /// fitted without them.
+    fn fit(&self) -> [f64; 3] {
+        let mut fixed = [false; 3];
         loop {
-            let parts_ms = self.fitted_without(&held);
-            let below = (0..3).filter(|part| parts_ms[*part] < 0.0);
-            match below.min_by(|a, b| parts_ms[*a].total_cmp(&parts_ms[*b])) {
-                Some(part) => held[part] = true,
-                None => return parts_ms,
+            let coefficients_ms = self.fit_with_fixed(&fixed);
+            let negative = (0..3).filter(|index| coefficients_ms[*index] < 0.0);
+            match negative.min_by(|a, b| coefficients_ms[*a].total_cmp(&coefficients_ms[*b])) {
+                Some(index) => fixed[index] = true,
+                None => return coefficients_ms,
             }
         }
     }
 
-    /// Solves the normal equations with some parts held at 0.
-    fn fitted_without(&self, held: &[bool; 3]) -> [f64; 3] {
+    /// Solves the normal equations with some coefficients fixed at 0.
+    fn fit_with_fixed(&self, fixed: &[bool; 3]) -> [f64; 3] {
         let mut rows = [[0.0; 4]; 3];
-        for (at, row) in rows.iter_mut().enumerate() {
-            row[..3].copy_from_slice(&self.loads[at]);
-            row[at] += DRAWN[at];
-            row[3] = self.times[at];
+        for (index, row) in rows.iter_mut().enumerate() {
+            row[..3].copy_from_slice(&self.feature_products[index]);
+            row[index] += RIDGE[index];
+            row[3] = self.time_products[index];
         }
-        for part in (0..3).filter(|part| held[*part]) {
-            rows.iter_mut().for_each(|row| row[part] = 0.0);
-            rows[part] = [0.0; 4];
-            rows[part][part] = 1.0;
+        for index in (0..3).filter(|index| fixed[*index]) {
+            rows.iter_mut().for_each(|row| row[index] = 0.0);
+            rows[index] = [0.0; 4];
+            rows[index][index] = 1.0;
         }
-        solved(rows)
+        solve(rows)
     }
 
-    /// What of an observation is taken in: none of a disturbed one, and no more than a part of one that came too soon.
-    fn within_span(&mut self, load: Load, event_ms: f64) -> Option<f64> {
-        let Some(expected_ms) = self.event_ms(load).filter(|_| self.is_settled()) else {
+    /// The time to learn from an observation: none if it is disturbed, and a lower bound if it is too short.
+    fn without_outlier(&mut self, load: Load, event_ms: f64) -> Option<f64> {
+        let Some(expected_ms) = self.event_ms(load).filter(|_| self.is_trained()) else {
             return Some(event_ms);
         };
         if event_ms <= expected_ms * DISTURBED_RATIO {
@@ -109,7 +111,7 @@
             return Some(event_ms.max(expected_ms / DISTURBED_RATIO));
         }
         self.disturbed_in_a_row = self.disturbed_in_a_row.saturating_add(1);
-        (self.disturbed_in_a_row > DISTURBED_IN_A_ROW).then_some(event_ms)
+        (self.disturbed_in_a_row > MAX_DISTURBED_IN_A_ROW).then_some(event_ms)
     }
 }
 
@@ -117,25 +119,26 @@
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
 
-/// Solves three equations whose matrix is symmetric and positive: the right side stands in the fourth column.
-fn solved(mut rows: [[f64; 4]; 3]) -> [f64; 3] {
-    for at in 0..3 {
-        let pivot = rows[at];
-        for row in rows.iter_mut().skip(at + 1) {
-            let factor = row[at] / pivot[at];
-            for (value, above) in row.iter_mut().zip(pivot).skip(at) {
+/// Solves three equations with a symmetric, positive definite matrix by Gaussian elimination; the fourth column is the
+/// right-hand side.
+fn solve(mut rows: [[f64; 4]; 3]) -> [f64; 3] {
+    for index in 0..3 {
+        let pivot = rows[index];
+        for row in rows.iter_mut().skip(index + 1) {
+            let factor = row[index] / pivot[index];
+            for (value, above) in row.iter_mut().zip(pivot).skip(index) {
                 *value -= factor * above;
             }
         }
     }
-    let mut found = [0.0; 3];
-    for at in (0..3).rev() {
-        let known: f64 = (at + 1..3)
-            .map(|other| rows[at][other] * found[other])
+    let mut solution = [0.0; 3];
+    for index in (0..3).rev() {
+        let known: f64 = (index + 1..3)
+            .map(|other| rows[index][other] * solution[other])
             .sum();
-        found[at] = (rows[at][3] - known) / rows[at][at];
+        solution[index] = (rows[index][3] - known) / rows[index][index];
     }
-    found
+    solution
 }
 
 #[cfg(test)]
--- a/components/policy/src/pace/steps_tests.rs
+++ b/components/policy/src/pace/steps_tests.rs
@@ -9,30 +9,30 @@
     }
 }
 
-fn taught(rounds: u32) -> StepModel {
+fn trained(observations: u32) -> StepModel {
     let mut model = StepModel::default();
-    for at in 0..rounds {
-        let load = load(at % 7, f64::from(at % 5) / 4.0);
+    for index in 0..observations {
+        let load = load(index % 7, f64::from(index % 5) / 4.0);
         model.observe(load, 28.0 + 0.5 * load.streams + 32.0 * load.prefill_share);
     }
     model
 }
 
 #[test]
-fn tells_reading_and_streams_apart() {
-    let model = taught(100);
+fn separates_the_effects_of_prefill_and_streams() {
+    let model = trained(100);
     assert!((model.event_ms(load(0, 0.0)).unwrap() - 28.0).abs() < 1.0);
     assert!((model.event_ms(load(6, 1.0)).unwrap() - 63.0).abs() < 1.0);
 }
 
 #[test]
-fn knows_nothing_before_it_saw_something() {
+fn predicts_nothing_without_observations() {
     assert_eq!(StepModel::default().event_ms(load(1, 0.0)), None);
 }
 
 #[test]
-fn is_not_bent_by_events_that_were_disturbed() {
-    let mut model = taught(100);
+fn is_not_changed_by_disturbed_events() {
+    let mut model = trained(100);
     for _ in 0..50 {
         model.observe(load(3, 0.0), 120.0);
     }
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn stays_finite_while_the_load_is_always_the_same() {
-    let mut model = taught(100);
+fn stays_finite_under_constant_load() {
+    let mut model = trained(100);
     for _ in 0..20_000 {
         model.observe(load(2, 0.0), 30.0);
     }
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn what_was_learnt_holds_over_hours_of_observations() {
+fn stays_accurate_over_hours_of_observations() {
     let mut model = StepModel::default();
-    let mut drawn = 1_u64;
+    let mut state = 1_u64;
     let mut next = |below: u64| {
         // Knuth's linear congruential generator.
-        drawn = drawn
+        state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (drawn >> 33) % below
+        (state >> 33) % below
     };
     for round in 0..200_000 {
         let load = Load {
@@ -76,43 +76,46 @@
     }
 }
 
-/// Tellings of a pool whose engines nearly always have the same streams: 28 ms by itself, half a millisecond a stream, 32 ms
-/// of reading, up to a fifth off, and one in `disturbed` three times as slow.
-fn told_of_like_loads(seed: u64, disturbed: u64) -> StepModel {
+/// Observes a pool whose engines have nearly the same number of streams all the time: 28 ms an event, half a millisecond a
+/// stream and 32 ms for prefill, with up to a fifth of noise. One observation in `disturbed` is three times as slow.
+fn trained_with_similar_loads(seed: u64, disturbed: u64) -> StepModel {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut model = StepModel::default();
-    for at in 0..20_000 {
+    for index in 0..20_000 {
         let load = load(random.random_range(4..7), random.random_range(0.0..1.0));
         let event_ms = 28.0 + 0.5 * load.streams + 32.0 * load.prefill_share;
-        let slower = if random.random_range(0..disturbed) == 0 {
+        let slowdown = if random.random_range(0..disturbed) == 0 {
             3.0
         } else {
             1.0
         };
-        model.observe(load, event_ms * slower * random.random_range(0.8..1.2));
-        if model.is_settled() {
-            let now_ms = model.event_ms(load).unwrap();
-            let off = now_ms / event_ms;
-            assert!((0.5..2.0).contains(&off), "{at}: {now_ms} {event_ms}");
+        model.observe(load, event_ms * slowdown * random.random_range(0.8..1.2));
+        if model.is_trained() {
+            let predicted_ms = model.event_ms(load).unwrap();
+            let ratio = predicted_ms / event_ms;
+            assert!(
+                (0.5..2.0).contains(&ratio),
+                "{index}: {predicted_ms} {event_ms}"
+            );
         }
     }
     model
 }
 
 #[test]
-fn stays_near_what_is_seen_where_loads_are_alike() {
+fn stays_close_to_the_observations_if_loads_are_similar() {
     for seed in 0..20 {
-        let model = told_of_like_loads(seed, 10);
+        let model = trained_with_similar_loads(seed, 10);
         let idle_ms = model.event_ms(load(0, 0.0)).unwrap();
         assert!((5.0..80.0).contains(&idle_ms), "{idle_ms}");
     }
 }
 
 #[test]
-fn follows_events_that_all_take_longer_than_it_knew() {
-    let mut model = taught(100);
-    for at in 0..400 {
-        let load = load(at % 7, 0.0);
+fn follows_a_lasting_slowdown_of_all_events() {
+    let mut model = trained(100);
+    for index in 0..400 {
+        let load = load(index % 7, 0.0);
         model.observe(load, 3.0 * (28.0 + 0.5 * load.streams));
     }
     let event_ms = model.event_ms(load(3, 0.0)).unwrap();
