--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -3,7 +3,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    Demand, End, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
+    Demand, End, EngineInfo, EventGaps, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
     WaitingPolicy,
 };
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
@@ -67,10 +67,10 @@
 }
 
 /// Uneven event gaps: one report in three is twice as slow, and one in seven is disturbed.
-fn event_gaps(serial: u64) -> GapsTold {
+fn event_gaps(serial: u64) -> EventGaps {
     let slowdown = if serial.is_multiple_of(3) { 2 } else { 1 };
     let disturbance = if serial.is_multiple_of(7) { 3 } else { 1 };
-    GapsTold {
+    EventGaps {
         events: 16,
         mean_ms: 40 * slowdown,
         longest_ms: 60 * slowdown * disturbance,
@@ -84,7 +84,7 @@
     black_box(pool.run(now_ms));
     let started = serial.saturating_sub(30);
     pool.progress(demand(started, 0).permit, 1, now_ms);
-    pool.gaps_seen(demand(started, 0).permit, event_gaps(serial), now_ms);
+    pool.record_event_gaps(demand(started, 0).permit, event_gaps(serial), now_ms);
     let Some(ended) = serial.checked_sub(OPEN_GENERATIONS) else {
         return;
     };
--- a/components/policy/tests/pace_recorded.rs
+++ b/components/policy/tests/pace_recorded.rs
@@ -2,33 +2,33 @@
 
 use std::collections::HashMap;
 
-use policy::{EnginePace, GapsTold, Observed, PaceBook, PaceLoad};
+use policy::{EnginePace, EventGaps, PaceLoad, PaceModel, PaceObservation};
 use prelude::TargetId;
 
 const RECORDING: &str = include_str!("data/gaps.csv");
 /// Samples observed before predictions are counted.
 const WARMUP: usize = 100;
 
-fn recorded_samples() -> Vec<(u64, Observed)> {
+fn recorded_samples() -> Vec<(u64, PaceObservation)> {
     let lines = RECORDING.lines().skip(1);
     lines.map(|line| parse_sample(line).expect(line)).collect()
 }
 
-fn parse_sample(line: &str) -> Option<(u64, Observed)> {
+fn parse_sample(line: &str) -> Option<(u64, PaceObservation)> {
     let fields: Vec<&str> = line.split(',').collect();
-    let reading_share: f64 = fields.get(3)?.parse().ok()?;
+    let prefill_share: f64 = fields.get(3)?.parse().ok()?;
     let integer = |at: usize| fields.get(at)?.parse::<u16>().ok();
-    let observed = Observed {
+    let observed = PaceObservation {
         target: TargetId(fields.get(1)?.parse().ok()?),
-        gaps: GapsTold {
+        gaps: EventGaps {
             events: integer(4)?,
             mean_ms: integer(5)?,
             longest_ms: integer(6)?,
             slowness_percent: integer(7)?,
         },
         streams: fields.get(2)?.parse().ok()?,
-        reading_share,
-        read_beside: reading_share > 0.0,
+        prefill_share,
+        overlaps_prefill: prefill_share > 0.0,
         expected_ms: None,
     };
     Some((fields.first()?.parse().ok()?, observed))
@@ -40,7 +40,7 @@
     (errors[errors.len() / 2], errors[errors.len() * 9 / 10])
 }
 
-fn relative_error(expected_ms: f64, observed: &Observed) -> f64 {
+fn relative_error(expected_ms: f64, observed: &PaceObservation) -> f64 {
     let observed_ms = f64::from(observed.gaps.mean_ms);
     (expected_ms - observed_ms).abs() / observed_ms
 }
@@ -65,18 +65,18 @@
 
 /// Errors of [`PaceBook`], which models the speed of an engine separately from its load and from disturbances.
 fn errors_of_pace_model(uses_reported_slowness: bool) -> Vec<f64> {
-    let mut book = PaceBook::default();
+    let mut book = PaceModel::default();
     let mut engines: HashMap<TargetId, EnginePace> = HashMap::new();
     let mut errors = Vec::new();
     for (now_ms, mut observed) in recorded_samples() {
         if !uses_reported_slowness {
             observed.gaps.slowness_percent = 0;
         }
-        book.set_usual(engines.values(), now_ms);
+        book.update_baseline(engines.values(), now_ms);
         let engine = engines.entry(observed.target).or_default();
         let load = PaceLoad {
             streams: f64::from(observed.streams),
-            reading_share: observed.reading_share,
+            prefill_share: observed.prefill_share,
         };
         let expected_ms = book.event_ms(engine, load, now_ms);
         if observed.gaps.events >= 2 {
