--- a/components/policy/src/admission/pending_retries.rs
+++ b/components/policy/src/admission/pending_retries.rs
@@ -41,7 +41,7 @@
         self.pending.push_back(retry);
     }
 
-    /// Drops retries whose time has passed, and adds those that are served before `priority` to
+    /// Drops retries whose time has passed, and adds those of the same or a higher priority to
     /// `queue_ahead` and `simulation`. Retries of flooding accounts are added for flooding accounts
     /// alone.
     pub fn add_to(
--- a/components/policy/src/admission/prefill_reserve.rs
+++ b/components/policy/src/admission/prefill_reserve.rs
@@ -3,7 +3,7 @@
 //! delays an urgent request that arrives a moment later. A lower-priority request is therefore
 //! placed only while enough engines will have finished their prefill backlog within its own prefill
 //! time. The number follows from the arrival rate of the last second or two: of more urgent
-//! requests, and for an account that asks for more than all others together, of the others'
+//! requests, and for an account that requests more than all others together, of the others'
 //! requests.
 //!
 //! No engine is reserved without such arrivals: arrivals have a half-life of one second.
@@ -36,7 +36,7 @@
             let left_ms = ledger.reading.left_ms(&self.reading_rate, now_ms);
             ledger.state == EngineState::Live && left_ms <= prefill_ms
         };
-        // True if more engines than the reserve are free.
+        // Stops at the first free engine beyond the reserve.
         let mut free_engines = self.engines.iter().filter(is_free);
         free_engines.nth(reserved as usize).is_some()
     }
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -228,8 +228,8 @@
         requests.collect()
     }
 
-    /// Sums up the requests served before one with this latest start, and adds their prompts to
-    /// `simulation`.
+    /// Sums up the requests served before `demand`, whose prefill must start by `start_by_ms`, and
+    /// adds their prompts to `simulation`.
     pub fn queue_ahead(
         &self,
         demand: &Demand,
@@ -246,7 +246,7 @@
         queue_ahead
     }
 
-    /// Returns the requests served before one with this latest start.
+    /// Returns the requests served before `demand`, whose prefill must start by `start_by_ms`.
     pub fn requests_ahead<'a>(
         &'a self,
         demand: &'a Demand,
--- a/components/policy/src/fairness/siblings.rs
+++ b/components/policy/src/fairness/siblings.rs
@@ -156,8 +156,8 @@
         if let Some(child) = self.children.get(&key) {
             return child.service_ms;
         }
-        let least = self.least_served_active();
-        least.map_or(self.floor_ms, |child| child.service_ms)
+        let least_served = self.least_served_active();
+        least_served.map_or(self.floor_ms, |child| child.service_ms)
     }
 
     /// Returns the least served child with waiting or running requests.
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -65,7 +65,7 @@
 }
 
 impl Pool {
-    /// Returns the requests served before a refused one, and the usage of its account.
+    /// Returns the number of requests served before a refused one, and the usage of its account.
     pub fn standing(&self, demand: &Demand) -> Standing {
         let mut standing = Standing {
             waiting: self.queue.len() as u32,
