--- a/components/policy/src/demand.rs
+++ b/components/policy/src/demand.rs
@@ -1,66 +1,67 @@
-//! What a pool is asked, and what it says.
+//! Requests to a pool's dispatcher and its replies.
 
 use crate::fairness::tree::Share;
 use crate::placement::length::LengthClass;
 use prelude::{Avoided, DataCentreId, PermitId, Refusal, TargetId};
 use serde::{Deserialize, Serialize};
 
-/// How many ranks of urgency there are.
+/// Number of priority ranks.
 pub const RANKS: usize = 10;
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// The permit's name, chosen by the box that asks.
+    /// Its permit's ID, chosen by the requesting box.
     pub permit: PermitId,
-    /// Who is charged.
+    /// The account to charge, with its fair-share weights.
     pub share: Share,
-    /// Whose lengths it is like.
+    /// Class of requests with similar answer lengths.
     pub class: LengthClass,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u32,
-    /// The most it may generate.
+    /// Upper limit of generated tokens.
     pub max_tokens: u32,
-    /// 0 for the most urgent, 9 for the least.
+    /// Priority: 0 is the most urgent, 9 the least.
     pub rank: u8,
-    /// The longest pause between events that counts as in time; none where every pause does.
+    /// Longest acceptable pause between two stream events, in milliseconds; `None` if any pause is
+    /// acceptable.
     pub pause_goal_ms: Option<u32>,
-    /// When its caller came, on the clock of the dispatcher.
+    /// Arrival time, on the dispatcher's clock.
     pub since_ms: u64,
-    /// When its first token is due; it is refused if it still waits then.
+    /// When the first token is due; a request that still waits then is refused.
     pub deadline_ms: u64,
-    /// When its caller leaves.
+    /// When the caller gives up.
     pub leaves_ms: u64,
-    /// Hash and tokens of a prefix that engines may have cached.
+    /// Hash and length in tokens of a prompt prefix that engines may have cached.
     pub prefix: Option<(u64, u32)>,
-    /// Its true length, for the oracle policy.
+    /// The true answer length, for the oracle policy.
     pub told_tokens: Option<u32>,
-    /// Engines that it is not to be placed on.
+    /// Engines to avoid.
     pub avoid: Avoided,
-    /// The data centre of the box that serves its caller.
+    /// The data centre of the box that serves the caller.
     pub near: Option<DataCentreId>,
 }
 
 impl Demand {
-    /// Its rank as a place in a list of [`RANKS`]; one beyond the last counts as the last.
+    /// The rank as an index below [`RANKS`]; higher ranks are clamped to the last one.
     pub fn rank_in_use(&self) -> u8 {
         self.rank.min(RANKS as u8 - 1)
     }
 }
 
-/// What became of a request when it came.
+/// Outcome of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// It waits, behind this many others.
+    /// The request is queued.
     Waits {
-        /// Requests before it.
+        /// Number of requests queued before it.
         place: u32,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// What became of a request that waited.
+/// Outcome of a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// It may run on this engine.
@@ -68,16 +69,16 @@
         /// The engine.
         target: TargetId,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// A stream that a new dispatcher is told of.
+/// A running stream that a box reports to a new dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Adopted {
-    /// What it asked for.
+    /// The request that it was granted for.
     pub demand: Demand,
-    /// Where it runs.
+    /// The engine it runs on.
     pub target: TargetId,
     /// Tokens generated so far.
     pub generated_tokens: u32,
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told of its settings and engines: which there are, whether they take work, what they report.
+//! Updates to a pool: its settings, its engines and their state, load reports and cache events.
 
 use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState, StreamKey};
@@ -7,64 +7,64 @@
 use prelude::{AccountId, TargetId};
 use std::collections::{HashMap, HashSet};
 
-/// Preemptions of one report that raise the margin.
-const PREEMPTIONS_COUNTED: u64 = 2;
+/// Preemptions counted per report.
+const PREEMPTIONS_PER_REPORT_MAX: u64 = 2;
 
 impl Pool {
-    /// Changes the settings; the margin stays within the new bounds.
+    /// Changes the settings and clamps the margin to the new bounds.
     pub fn set_settings(&mut self, settings: PoolSettings) {
         self.margin = self.margin.clamp(settings.margin_min, settings.margin_max);
         self.tree.set_orders(settings.fair);
         self.settings = settings;
     }
 
-    /// Sets which accounts have a cap: the share of the pool's memory that their requests may hold.
+    /// Sets the caps of accounts: the share of the pool's memory that their requests may use.
     pub fn set_caps(&mut self, caps: HashMap<AccountId, f64>) {
         self.tree.set_caps(caps);
     }
 
-    /// Tells the tree of shares how much room there is.
-    fn sync_room(&mut self) {
+    /// Updates the fair-share tree with the number and memory of live engines.
+    fn sync_capacity(&mut self) {
         let engines = &self.engines;
         self.tree
             .set_room(engines.live_count(), engines.live_tokens());
     }
 
-    /// Sets which engines there are. Ledgers of engines that stay are kept.
+    /// Replaces the list of engines. Engines that remain keep their ledgers.
     pub fn set_engines(&mut self, engines: &[EngineInfo]) {
         for info in engines {
             self.engines.set(*info);
         }
-        let stay: HashSet<TargetId> = engines.iter().map(|info| info.id).collect();
+        let kept: HashSet<TargetId> = engines.iter().map(|info| info.id).collect();
         let ids = self.engines.iter().map(|ledger| ledger.info.id);
-        let gone: Vec<TargetId> = ids.filter(|id| !stay.contains(id)).collect();
-        for target in gone {
+        let removed: Vec<TargetId> = ids.filter(|id| !kept.contains(id)).collect();
+        for target in removed {
             self.drop_engine(target);
         }
-        self.sync_room();
+        self.sync_capacity();
     }
 
-    /// Takes in what is new of one engine, and whether it takes new work.
+    /// Adds or updates one engine and sets its state.
     pub fn set_engine(&mut self, info: EngineInfo, state: EngineState) {
         self.engines.set(info);
         self.set_state(info.id, state);
-        self.sync_room();
+        self.sync_capacity();
     }
 
-    /// Forgets an engine. Its streams lose their permits.
+    /// Removes an engine. Its streams lose their permits.
     pub fn drop_engine(&mut self, target: TargetId) {
         self.set_state(target, EngineState::Gone);
         self.prefixes.forget(target);
         self.rate_limited.remove(&target);
         self.engines.remove(target);
-        self.sync_room();
+        self.sync_capacity();
     }
 
     /// Sets whether an engine takes new work. The streams of an engine that is gone lose their
     /// permits.
     pub fn set_state(&mut self, target: TargetId, state: EngineState) {
         if self.engines.set_state(target, state) {
-            self.sync_room();
+            self.sync_capacity();
         }
         if state != EngineState::Gone {
             return;
@@ -74,8 +74,8 @@
         };
         ledger.report = None;
         ledger.foreign_tokens = 0.0;
-        let lost: Vec<StreamKey> = ledger.streams.clone();
-        for key in lost {
+        let orphaned: Vec<StreamKey> = ledger.streams.clone();
+        for key in orphaned {
             if let Some(stream) = self.streams.get(key) {
                 let (permit, tokens) = (stream.permit, stream.generated_tokens);
                 self.release(permit, tokens, End::Censored);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sets how many requests a second an engine takes; none where it names no limit.
+    /// Sets the rate limit of an engine in requests per second; `None` for no limit.
     pub fn set_rate_limit(&mut self, target: TargetId, rate_per_s: Option<f64>, now_ms: u64) {
         match rate_per_s {
             Some(_) => self.rate_limited.insert(target),
@@ -94,21 +94,21 @@
         }
     }
 
-    /// Takes an engine's report in.
+    /// Applies an engine's load report.
     pub fn report(&mut self, target: TargetId, report: EngineReport, now_ms: u64) {
         let lag_ms = self.settings.report_lag_ms;
         let Some(ledger) = self.engine_mut(target) else {
             return;
         };
         let preemptions = ledger.reported(report, lag_ms, now_ms);
-        // Many at once have one cause, such as an engine that was filled twice; the margin is for the
-        // forecast's own errors.
-        let counted = preemptions.min(PREEMPTIONS_COUNTED);
+        // Several preemptions at once have one cause, such as two dispatchers filling the same
+        // engine. The margin only covers errors of the forecast.
+        let counted = preemptions.min(PREEMPTIONS_PER_REPORT_MAX);
         let raise = self.settings.margin_step * counted as f64;
         self.margin = (self.margin + raise).min(self.settings.margin_max);
     }
 
-    /// Takes an event of an engine's prefix cache in.
+    /// Applies an event of an engine's prefix cache.
     pub fn cache_event(
         &mut self,
         target: TargetId,
@@ -120,7 +120,7 @@
         self.prefixes.event(target, seq, prefix, stored, now_ms);
     }
 
-    /// The last cache event seen of an engine.
+    /// Sequence number of the last cache event received from an engine.
     pub fn last_cache_event(&self, target: TargetId) -> u64 {
         self.prefixes.last_seq(target)
     }
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -1,5 +1,5 @@
-//! Boxes that hold permits: what a dispatcher that is new to its role is told of theirs, and what becomes of the
-//! permits of those that fall silent.
+//! Permits held by boxes: a new dispatcher adopts running streams, and the permits of boxes that
+//! stop reporting expire.
 
 use crate::admission::grant_pace::GrantPace;
 use crate::demand::{Adopted, RANKS};
@@ -9,15 +9,15 @@
 use prelude::{BoxId, PermitId};
 use std::collections::HashSet;
 
-/// A box that says nothing for this long holds no permits any more.
-pub(crate) const SILENT_BOX_MS: u64 = 10_000;
+/// A box that has not reported for this long loses its permits.
+pub(crate) const BOX_TIMEOUT_MS: u64 = 10_000;
 
-/// A permit may be so long on its way to the box that asked: the longest answer to a question, and some. Dropped before, its
-/// room would be given away twice, and the engine preempts.
-const ON_ITS_WAY_MS: u64 = 400;
+/// How long a granted permit may be in flight to its box: slightly more than the longest reply
+/// time. Releasing it earlier would allocate its memory twice and make the engine preempt.
+const GRANT_DELIVERY_MS: u64 = 400;
 
 impl Pool {
-    /// Takes over a stream that another dispatcher, or none, had placed.
+    /// Adopts a stream that runs on a grant of another dispatcher, or without one.
     pub fn adopt(&mut self, adopted: Adopted, now_ms: u64) {
         let permit = adopted.demand.permit;
         self.heard_ms.insert(permit.entry, now_ms);
@@ -34,38 +34,40 @@
         self.place(adopted.demand, adopted.target, generated_tokens, now_ms);
     }
 
-    /// Forgets how fast requests were granted: they waited at another dispatcher.
+    /// Discards the measured grant rate, which does not count requests that waited at another
+    /// dispatcher.
     pub fn forget_grant_pace(&mut self) {
         self.pace = GrantPace::default();
         self.paces = [GrantPace::default(); RANKS];
     }
 
-    /// Drops the permits of a box that are not among those it says it has, but for those that it may not have heard of yet.
+    /// Releases the permits of a box that are missing from the list it reports, except those that
+    /// may still be in flight to it.
     pub fn keep_only(&mut self, entry: BoxId, permits: &HashSet<PermitId>, now_ms: u64) {
         let of_box = self
             .streams
             .values()
             .filter(|stream| stream.entry() == entry);
-        let on_its_way = |stream: &Stream| {
-            stream.generated_tokens == 0 && now_ms < stream.progress_ms + ON_ITS_WAY_MS
+        let in_flight = |stream: &Stream| {
+            stream.generated_tokens == 0 && now_ms < stream.progress_ms + GRANT_DELIVERY_MS
         };
-        let extra =
-            of_box.filter(|stream| !permits.contains(&stream.permit) && !on_its_way(stream));
-        let extra: Vec<(PermitId, u32)> = extra
+        let unlisted =
+            of_box.filter(|stream| !permits.contains(&stream.permit) && !in_flight(stream));
+        let unlisted: Vec<(PermitId, u32)> = unlisted
             .map(|stream| (stream.permit, stream.generated_tokens))
             .collect();
-        for (permit, tokens) in extra {
+        for (permit, tokens) in unlisted {
             self.release(permit, tokens, End::Censored);
         }
     }
 
-    /// Drops the permits of boxes that have said nothing for long.
+    /// Releases the permits and drops the queued requests of boxes that stopped reporting.
     pub fn forget_silent(&mut self, now_ms: u64) {
-        let silent = |heard_ms: &u64| heard_ms + SILENT_BOX_MS < now_ms;
+        let is_silent = |heard_ms: &u64| heard_ms + BOX_TIMEOUT_MS < now_ms;
         let boxes: HashSet<BoxId> = self
             .heard_ms
             .iter()
-            .filter(|(_, heard_ms)| silent(heard_ms))
+            .filter(|(_, heard_ms)| is_silent(heard_ms))
             .map(|(id, _)| *id)
             .collect();
         if boxes.is_empty() {
--- a/components/policy/src/kind.rs
+++ b/components/policy/src/kind.rs
@@ -1,23 +1,23 @@
-//! The settings of a pool: which policy places its work, and the policy's parameters.
+//! Settings of a pool: its placement policy and the parameters of the policy.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// How a target is chosen. All but [`PolicyKind::Shuntpier`] and [`PolicyKind::Oracle`] are
-/// baselines that are kept to be measured against.
+/// How a target is chosen. All policies except [`PolicyKind::Shuntpier`] and [`PolicyKind::Oracle`]
+/// are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The next target in turn.
+    /// Targets in rotation.
     RoundRobin,
     /// The target that reported the fewest running and waiting requests.
     LeastLoad,
-    /// The better of two targets drawn at random, by reported load plus own streams.
+    /// The less loaded of two random targets, by reported load plus this box's own streams.
     TwoChoices,
-    /// Permits from the pool's dispatcher, which forecasts each engine's memory.
+    /// Permits from the pool's dispatcher, which forecasts the memory of each engine.
     #[default]
     Shuntpier,
-    /// The same, told the true length of each answer: a bound for measurements.
+    /// Like `Shuntpier`, but given the true length of each answer: an upper bound for measurements.
     Oracle,
 }
 
@@ -28,101 +28,109 @@
     }
 }
 
-/// How the reading of prompts counts where a request is placed.
+/// How pending prefill on an engine affects placement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadingPolicy {
-    /// An engine has a fixed number of prompt tokens waiting at the most; memory alone decides among the others.
+    /// Limits the prompt tokens that wait for prefill on an engine; otherwise only memory counts.
     Bound,
-    /// The time until an engine has read what it was sent is forecast, and counts beside memory.
+    /// Forecasts when an engine finishes its pending prefill and weighs that time against memory.
     #[default]
     FirstToken,
 }
 
-/// How it is decided who waits.
+/// How admission decides which requests may wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitingPolicy {
-    /// By the pace of grants; a request that still waits at its deadline is refused.
+    /// By the grant rate; a request that still waits at its deadline is refused.
     Pace,
     /// By a forecast of the first token, which must come before the deadline.
     #[default]
     FirstToken,
 }
 
-/// Parameters of one pool. Every field has a default that suits the deployments of the brief.
+/// Parameters of one pool, with defaults for all fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolSettings {
     /// How a target is chosen.
     pub policy: PolicyKind,
-    /// Open streams that one engine may have under a baseline policy; 0 for no limit.
+    /// Maximum open streams per engine under a baseline policy; 0 for no limit.
     pub concurrency_limit: u32,
-    /// Parts into which the engines of a region are divided, each with a dispatcher of its own.
+    /// Number of shards that the engines of a region are divided into, each with its own
+    /// dispatcher.
     #[schemars(range(min = 1, max = 1024))]
     pub shards: u16,
     /// Share of an engine's memory that the forecast may fill, between 0 and 1.
     pub memory_share: f64,
-    /// Standard deviations of the forecast kept free when a pool starts.
+    /// Initial safety margin, in standard deviations of the forecast.
     pub margin_initial: f64,
-    /// The least margin, in standard deviations.
+    /// Minimum margin, in standard deviations.
     pub margin_min: f64,
-    /// The largest margin, in standard deviations.
+    /// Maximum margin, in standard deviations.
     pub margin_max: f64,
-    /// Added to the margin for each preemption that an engine reports.
+    /// Increase of the margin per reported preemption.
     pub margin_step: f64,
-    /// Taken off the margin each second without a preemption.
+    /// Decrease of the margin per second.
     pub margin_decay_per_s: f64,
-    /// Whether ten ranks are told apart; otherwise rank 0 goes before all others, which count alike.
+    /// Whether all ten ranks are distinguished; otherwise rank 0 goes first and all others are
+    /// equal.
     pub ranks: bool,
-    /// How it is decided who waits.
+    /// How admission decides which requests may wait.
     pub waiting: WaitingPolicy,
-    /// Whether forecasts of first tokens are corrected by how far those of the same rank were off lately.
+    /// Whether first-token forecasts are corrected by the recent forecast error of the same rank.
     pub corrects_forecasts: bool,
-    /// Whether a forecast counts the reading of what is more urgent and likely to come meanwhile.
+    /// Whether first-token forecasts include the prefill of more urgent requests that are expected
+    /// to arrive meanwhile.
     pub urgent_ahead: bool,
-    /// Whether memory is run forward beside reading, with both of the above, and callers are told to come back when there
-    /// is room for them; otherwise the pace of grants stands for memory.
+    /// Whether admission simulates memory as well as prefill and tells refused callers to retry
+    /// when there is room for them. This includes the correction and the urgent arrivals above. If
+    /// off, the grant rate stands in for memory.
     pub memory_ahead: bool,
-    /// Whether engines are left free to read for more urgent work that is likely to come.
+    /// Whether engines are kept free for the prefill of more urgent requests that are expected
+    /// soon.
     pub protection: bool,
-    /// How reading counts.
+    /// How pending prefill affects placement.
     pub reading: ReadingPolicy,
-    /// Prompt tokens that one engine may have waiting for their first token, under the fixed bound.
+    /// Maximum prompt tokens per engine that wait for prefill, under [`ReadingPolicy::Bound`].
     pub prefill_tokens: u32,
-    /// An engine that will be reading for longer than this gets no further prompt, under the forecast.
+    /// An engine with more pending prefill than this, in milliseconds, gets no further prompt,
+    /// under [`ReadingPolicy::FirstToken`].
     pub reading_ahead_ms: u32,
-    /// What a millisecond of reading counts for, in tokens of memory, under the forecast.
+    /// Cost of a millisecond of pending prefill, in tokens of memory, under
+    /// [`ReadingPolicy::FirstToken`].
     pub reading_tokens_per_ms: u32,
-    /// Whether the pace of each engine is learnt.
+    /// Whether the pace of each engine is learned.
     pub learns_pace: bool,
-    /// What a pause beyond its caller's goal counts for, in milliseconds of reading; 0 where pauses decide nothing.
+    /// Cost of a pause beyond its caller's goal, in milliseconds of prefill; 0 ignores pauses.
     pub long_pause_ms: u32,
-    /// Open streams that one engine may have, whatever the forecast says; 0 for no limit.
+    /// Maximum open streams per engine, whatever the forecast says; 0 for no limit.
     pub running_limit: u32,
-    /// How old an engine's report of its load is when it is read.
+    /// Age of an engine's load report on arrival, in milliseconds.
     pub report_lag_ms: u64,
-    /// Largest bonus for a cached prompt prefix, in tokens of memory.
+    /// Maximum placement bonus for a cached prompt prefix, in tokens of memory.
     pub affinity_tokens: u32,
-    /// After this wait a request that fits nowhere has the engine that is nearest to having room kept
-    /// for it.
+    /// After this wait, the engine closest to having room is reserved for a request that fits
+    /// nowhere.
     pub pass_limit_ms: u64,
-    /// Share of the engines that may be kept for such requests at a time, between 0 and 1.
+    /// Maximum share of the engines that may be reserved at a time, between 0 and 1.
     pub reserve_share: f64,
-    /// What an engine in the data centre of the caller's box is preferred by, in tokens of memory.
+    /// Placement bonus of engines in the data centre of the caller's box, in tokens of memory.
     pub near_tokens: u32,
-    /// What copying within a data centre is preferred by, in tokens of memory: between data centres a copy takes
-    /// twice as long.
+    /// Bonus for moving a generation within its data centre, in tokens of memory: a copy between
+    /// data centres takes twice as long.
     pub near_copy_tokens: u32,
-    /// Whether memory is forecast; otherwise what is held now counts.
+    /// Whether memory is forecast; otherwise only the current use counts.
     pub forecast: bool,
-    /// Whether lengths of answers are learnt.
+    /// Whether answer lengths are learned.
     pub learns_lengths: bool,
-    /// Whether accounts share by what they had; otherwise who came first goes first.
+    /// Whether requests are ordered by fair share; otherwise first come, first served.
     pub fair: bool,
-    /// How long a new dispatcher waits for an engine's first report; 0 where all load is its own.
+    /// How long a new dispatcher waits for an engine's first report, in milliseconds; 0 if no other
+    /// load runs on the engines.
     pub first_report_ms: u64,
-    /// Retries as a share of fresh requests.
+    /// Maximum retries as a share of new requests.
     pub retry_share: f64,
 }
 
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions: which target, when to wait, when to refuse. Nothing here opens a socket, starts a
-//! task or reads a clock.
+//! Scheduling and load balancing decisions: which target gets a request, when a request waits and
+//! when it is refused. This crate opens no sockets, starts no tasks and reads no clock.
 
 mod admission;
 mod balance;
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -1,4 +1,4 @@
-//! Which engine a request of a pool goes to, and which are kept for those that have waited too long.
+//! Chooses the engine for a queued request and reserves engines for requests that waited too long.
 
 use crate::admission::queue::Place;
 use crate::demand::Demand;
@@ -9,26 +9,31 @@
 use crate::pool::{Pool, demand_forecast};
 use prelude::TargetId;
 
-/// Where a request can go.
+/// Possible engines for a request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Choice {
-    /// The engine with the most room left, where it fits.
-    pub fits: Option<TargetId>,
-    /// The engines where it does not fit, the one nearest to having room first.
+pub(crate) struct EngineChoice {
+    /// The best engine with room for the request.
+    pub best_engine: Option<TargetId>,
+    /// The engines without room for the request, the one closest to having room first.
     pub nearest: Vec<TargetId>,
 }
 
 impl Pool {
-    /// The engine for the first request of a place. Engines in `reserved` are kept for others.
-    pub(crate) fn choose(&mut self, place: Place, now_ms: u64, reserved: &[TargetId]) -> Choice {
-        let Some(demand) = self.queue.front(place) else {
-            return Choice::default();
+    /// Chooses the engine for the first request of a queue. Engines in `reserved` are excluded.
+    pub(crate) fn choose(
+        &mut self,
+        queue_key: Place,
+        now_ms: u64,
+        reserved: &[TargetId],
+    ) -> EngineChoice {
+        let Some(demand) = self.queue.front(queue_key) else {
+            return EngineChoice::default();
         };
         let new = demand_forecast(&self.lengths, demand, self.settings.policy);
         let margin = self.margin_in_use();
         let began_ms = *self.began_ms.get_or_insert(now_ms);
-        // Until an engine's first report the dispatcher does not know what runs there, and would fill it
-        // a second time.
+        // Before an engine's first report the dispatcher does not know what runs there and could
+        // fill it twice.
         let needs_report = now_ms < began_ms + self.settings.first_report_ms;
         let view = RoomView {
             streams: &self.streams,
@@ -53,78 +58,81 @@
         };
         let mut best: Option<(f64, TargetId)> = None;
         let mut nearest: Vec<(f64, TargetId)> = Vec::new();
-        for slot in self.engines.weighed(demand.near, now_ms) {
-            let Some(ledger) = self.engines.at_mut(slot) else {
+        for slot in self.engines.candidates(demand.near, now_ms) {
+            let Some(ledger) = self.engines.slot_mut(slot) else {
                 continue;
             };
             let limit = self.settings.running_limit as usize;
             let at_limit = limit > 0 && ledger.streams.len() >= limit;
-            let takes = ledger.state == EngineState::Live
+            let is_eligible = ledger.state == EngineState::Live
                 && !reserved.contains(&ledger.info.id)
                 && (ledger.report.is_some() || !needs_report)
                 && !demand.avoid.contains(ledger.info.id)
                 && !at_limit
                 && ledger.bears_one_more(now_ms)
                 && !ledger.is_backed_up(now_ms);
-            if !takes || !reading_fits(ledger, &self.reading_rate, demand, &view) {
+            if !is_eligible || !accepts_prefill(ledger, &self.reading_rate, demand, &view) {
                 continue;
             }
             let affinity = demand.prefix.map_or(0.0, |(prefix, tokens)| {
                 let tokens = tokens.min(self.settings.affinity_tokens);
-                self.prefixes.worth(ledger.info.id, prefix, now_ms) * f64::from(tokens)
+                self.prefixes.confidence(ledger.info.id, prefix, now_ms) * f64::from(tokens)
             });
             let is_near = demand.near == Some(ledger.info.data_centre);
-            let near = f64::from(u8::from(is_near)) * f64::from(self.settings.near_tokens);
-            let reading = reading_tokens(ledger, &self.reading_rate, &view);
-            let before_pauses = affinity + near - reading;
-            // The forecast of its memory is most of the work of a decision; where even an empty engine would not be
-            // chosen, it is not made.
+            let locality_bonus =
+                f64::from(u8::from(is_near)) * f64::from(self.settings.near_tokens);
+            let prefill_cost = prefill_cost_tokens(ledger, &self.reading_rate, &view);
+            let bonus_before_pauses = affinity + locality_bonus - prefill_cost;
+            // The memory forecast is most of the cost of a decision. It is skipped for an engine
+            // that would lose even if its memory were empty.
             let capacity_tokens = ledger.info.capacity_tokens as f64;
-            let is_beaten = |most: f64| best.is_some_and(|(other, _)| other >= most);
-            if is_beaten(capacity_tokens + before_pauses) {
+            let is_beaten =
+                |max_score: f64| best.is_some_and(|(best_score, _)| best_score >= max_score);
+            if is_beaten(capacity_tokens + bonus_before_pauses) {
                 continue;
             }
-            let without_room = before_pauses - pauses.pause_tokens(ledger, &pausing);
-            if is_beaten(capacity_tokens + without_room) {
+            let bonus = bonus_before_pauses - pauses.pause_tokens(ledger, &pausing);
+            if is_beaten(capacity_tokens + bonus) {
                 continue;
             }
-            let left = ledger.room_left(&view, &new);
-            let empty = ledger.streams.is_empty() && ledger.foreign_tokens == 0.0;
-            if left < 0.0 && !empty {
-                nearest.push((left, ledger.info.id));
+            let free = ledger.room_left(&view, &new);
+            let is_idle = ledger.streams.is_empty() && ledger.foreign_tokens == 0.0;
+            if free < 0.0 && !is_idle {
+                nearest.push((free, ledger.info.id));
                 continue;
             }
-            let score = left + without_room;
-            if best.is_none_or(|(other, _)| score > other) {
+            let score = free + bonus;
+            if best.is_none_or(|(best_score, _)| score > best_score) {
                 best = Some((score, ledger.info.id));
             }
         }
         nearest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        Choice {
-            fits: best.map(|(_, target)| target),
+        EngineChoice {
+            best_engine: best.map(|(_, target)| target),
             nearest: nearest.into_iter().map(|(_, target)| target).collect(),
         }
     }
 
-    /// Keeps an engine for each request of a place that has waited past the limit, within the share
-    /// of engines that may be kept: those that are nearest to having room.
+    /// Reserves engines for the requests of a queue that have waited past `pass_limit_ms`: those
+    /// closest to having room, up to the `reserve_share` of all engines.
     pub(crate) fn reserve(
         &self,
-        place: Place,
+        queue_key: Place,
         nearest: &[TargetId],
         reserved: &mut Vec<TargetId>,
         now_ms: u64,
     ) {
-        let most = (self.engines.len() as f64 * self.settings.reserve_share).ceil() as usize;
-        let room = most.saturating_sub(reserved.len());
-        let late_ms = now_ms.saturating_sub(self.settings.pass_limit_ms);
-        let late = self.queue.count_since(place, late_ms, room);
-        reserved.extend(nearest.iter().take(late));
+        let reserved_max =
+            (self.engines.len() as f64 * self.settings.reserve_share).ceil() as usize;
+        let available = reserved_max.saturating_sub(reserved.len());
+        let late_since_ms = now_ms.saturating_sub(self.settings.pass_limit_ms);
+        let late_count = self.queue.count_since(queue_key, late_since_ms, available);
+        reserved.extend(nearest.iter().take(late_count));
     }
 }
 
-/// Whether an engine may get one more prompt to read.
-fn reading_fits(
+/// Whether an engine may take one more prompt to prefill.
+fn accepts_prefill(
     ledger: &EngineLedger,
     rate: &ReadingRate,
     demand: &Demand,
@@ -136,8 +144,8 @@
     }
     match settings.reading {
         ReadingPolicy::Bound => {
-            let with = reading.tokens() + u64::from(demand.prompt_tokens);
-            with <= u64::from(settings.prefill_tokens)
+            let total = reading.tokens() + u64::from(demand.prompt_tokens);
+            total <= u64::from(settings.prefill_tokens)
         }
         ReadingPolicy::FirstToken => {
             reading.left_ms(rate, view.now_ms) <= f64::from(settings.reading_ahead_ms)
@@ -145,13 +153,13 @@
     }
 }
 
-/// What the prompts that an engine has still to read count for, in tokens of memory.
-fn reading_tokens(ledger: &EngineLedger, rate: &ReadingRate, view: &RoomView<'_>) -> f64 {
+/// Cost of an engine's pending prefill, in tokens of memory.
+fn prefill_cost_tokens(ledger: &EngineLedger, rate: &ReadingRate, view: &RoomView<'_>) -> f64 {
     match view.settings.reading {
         ReadingPolicy::Bound => 0.0,
         ReadingPolicy::FirstToken => {
-            let left_ms = ledger.reading.left_ms(rate, view.now_ms);
-            left_ms * f64::from(view.settings.reading_tokens_per_ms)
+            let remaining_ms = ledger.reading.left_ms(rate, view.now_ms);
+            remaining_ms * f64::from(view.settings.reading_tokens_per_ms)
         }
     }
 }
--- a/components/policy/src/placement/engine_set.rs
+++ b/components/policy/src/placement/engine_set.rs
@@ -1,5 +1,5 @@
-//! The engines of a pool, so kept that decisions need no pass over all of them: by their keys, and those that take work
-//! and run nothing, by data centre. What a decision looks at does not grow with the pool.
+//! The engines of a pool, indexed by ID and, for idle ones, by data centre. The number of engines
+//! that a decision checks does not grow with the pool.
 
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineInfo, EngineLedger, EngineState, StreamKey};
@@ -7,30 +7,31 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Engines that one decision weighs. A pool of so many is weighed whole. In a larger one of which 3 in 100 have room, a
-/// decision that finds no idle one misses all of these once in twenty times, and looks at others the next time.
-const WEIGHED_MAX: usize = 96;
-/// Of these, idle ones in the data centre of the request.
-const NEAR_IDLE: usize = 32;
-/// Idle ones of all other data centres together.
-const FAR_IDLE: usize = 32;
-/// Idle engines that are looked at for one that is weighed, at the most: cold ones may have what they bear.
-const IDLE_LOOKS: usize = 2;
+/// Maximum candidates per decision; smaller pools are considered whole. In a larger pool where 3 of
+/// 100 engines have room and none is idle, a decision misses all of them once in twenty times; the
+/// next decision checks others.
+const CANDIDATES_MAX: usize = 96;
+/// Maximum idle candidates in the data centre of the request.
+const NEAR_IDLE_MAX: usize = 32;
+/// Maximum idle candidates in all other data centres together.
+const FAR_IDLE_MAX: usize = 32;
+/// Maximum idle engines checked per idle candidate: cold ones may have reached their rate limit.
+const IDLE_CHECKS_PER_CANDIDATE: usize = 2;
 
-/// An engine's place in the order in which engines came.
+/// Position of an engine in the order of insertion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EngineSlot(u64);
 
-/// What the engines that take work have together.
+/// Total capacity of the engines that take work.
 #[derive(Clone, Debug, Default)]
-struct LiveRoom {
+struct LiveCapacity {
     count: usize,
     memory_tokens: u64,
-    /// How many have so much memory.
+    /// Number of engines by memory size.
     by_capacity: BTreeMap<u64, usize>,
 }
 
-impl LiveRoom {
+impl LiveCapacity {
     fn add(&mut self, capacity_tokens: u64) {
         self.count += 1;
         self.memory_tokens += capacity_tokens;
@@ -49,126 +50,127 @@
     }
 }
 
-/// The engines of a pool, in the order in which they came.
+/// The engines of a pool, in order of insertion.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineSet {
     ledgers: BTreeMap<EngineSlot, EngineLedger>,
     by_id: HashMap<TargetId, EngineSlot>,
-    /// Those that take work and run nothing.
+    /// Engines that take work and run no streams, by data centre.
     idle: BTreeMap<DataCentreId, BTreeSet<EngineSlot>>,
-    /// Those that run something.
+    /// Engines that run streams.
     busy: BTreeSet<EngineSlot>,
-    live: LiveRoom,
+    live: LiveCapacity,
     next: u64,
-    /// Where the next look at any engines begins.
+    /// Where the next rotation over the engines continues.
     cursor: EngineSlot,
-    looks: Cell<u64>,
+    checks: Cell<u64>,
 }
 
 impl EngineSet {
-    /// How many there are.
+    /// Number of engines.
     pub fn len(&self) -> usize {
         self.ledgers.len()
     }
 
-    /// How many take work.
+    /// Number of engines that take work.
     pub fn live_count(&self) -> usize {
         self.live.count
     }
 
-    /// The memory of those that take work.
+    /// Total memory of the engines that take work, in tokens.
     pub fn live_tokens(&self) -> u64 {
         self.live.memory_tokens
     }
 
-    /// The most memory that one has which takes work; none where none does.
+    /// Memory of the largest engine that takes work, in tokens; `None` if none does.
     pub fn largest_tokens(&self) -> Option<u64> {
         self.live.by_capacity.keys().next_back().copied()
     }
 
-    /// How many engines were looked at, each time counted.
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    /// Number of engine lookups so far, including repeated ones.
+    pub fn checks(&self) -> u64 {
+        self.checks.get()
     }
 
-    fn looked(&self, engines: usize) {
-        self.looks.set(self.looks.get() + engines as u64);
+    fn count_checks(&self, engines: usize) {
+        self.checks.set(self.checks.get() + engines as u64);
     }
 
-    /// All engines.
+    /// Iterates over all engines.
     pub fn iter(&self) -> impl Iterator<Item = &EngineLedger> + Clone {
-        self.ledgers.values().inspect(move |_| self.looked(1))
+        self.ledgers.values().inspect(move |_| self.count_checks(1))
     }
 
-    /// All engines.
+    /// Iterates over all engines.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut EngineLedger> {
-        let looks = &self.looks;
+        let checks = &self.checks;
         self.ledgers
             .values_mut()
-            .inspect(move |_| looks.set(looks.get() + 1))
+            .inspect(move |_| checks.set(checks.get() + 1))
     }
 
-    /// Those that run something.
+    /// The engines that run streams.
     pub fn busy(&self) -> Vec<EngineSlot> {
         self.busy.iter().copied().collect()
     }
 
     pub fn get(&self, target: TargetId) -> Option<&EngineLedger> {
-        self.looked(1);
+        self.count_checks(1);
         self.ledgers.get(self.by_id.get(&target)?)
     }
 
-    /// An engine. Its streams, state and data centre are changed by the methods of this set alone.
+    /// Returns an engine by ID. Only the methods of this set may change its streams, state or data
+    /// centre, which the indexes depend on.
     pub fn get_mut(&mut self, target: TargetId) -> Option<&mut EngineLedger> {
         let slot = *self.by_id.get(&target)?;
-        self.at_mut(slot)
+        self.slot_mut(slot)
     }
 
-    pub fn at_mut(&mut self, slot: EngineSlot) -> Option<&mut EngineLedger> {
-        self.looked(1);
+    pub fn slot_mut(&mut self, slot: EngineSlot) -> Option<&mut EngineLedger> {
+        self.count_checks(1);
         self.ledgers.get_mut(&slot)
     }
 
-    /// Takes an engine in, or what is new of it.
+    /// Inserts an engine or updates its info.
     pub fn set(&mut self, info: EngineInfo) {
         let slot = *self.by_id.entry(info.id).or_insert_with(|| {
             self.next += 1;
             EngineSlot(self.next)
         });
-        self.looked(1);
+        self.count_checks(1);
         match self.ledgers.get_mut(&slot) {
             Some(ledger) if ledger.info == info => {}
-            Some(_) => self.change(slot, |ledger| ledger.info = info),
+            Some(_) => self.update(slot, |ledger| ledger.info = info),
             None => {
                 self.ledgers.insert(slot, EngineLedger::new(info));
-                self.note(slot);
+                self.index(slot);
             }
         }
     }
 
-    /// Takes an engine out.
+    /// Removes an engine.
     pub fn remove(&mut self, target: TargetId) {
         let Some(slot) = self.by_id.remove(&target) else {
             return;
         };
-        self.forget(slot);
+        self.unindex(slot);
         self.ledgers.remove(&slot);
     }
 
-    /// Sets whether an engine takes new work. True where that is new.
+    /// Sets whether an engine takes new work. Returns true if that changed.
     pub fn set_state(&mut self, target: TargetId, state: EngineState) -> bool {
         let Some(slot) = self.by_id.get(&target).copied() else {
             return false;
         };
-        self.looked(1);
-        let is_new = self.ledgers.get(&slot).is_some_and(|l| l.state != state);
-        if is_new {
-            self.change(slot, |ledger| ledger.state = state);
+        self.count_checks(1);
+        let is_changed = self.ledgers.get(&slot).is_some_and(|l| l.state != state);
+        if is_changed {
+            self.update(slot, |ledger| ledger.state = state);
         }
-        is_new
+        is_changed
     }
 
-    /// Adds a stream that was just placed at an engine. None where the engine is not known.
+    /// Adds a newly placed stream to an engine. Returns `None` if the engine is unknown.
     pub fn add_stream(
         &mut self,
         target: TargetId,
@@ -177,22 +179,22 @@
         now_ms: u64,
     ) -> Option<&mut EngineLedger> {
         let slot = *self.by_id.get(&target)?;
-        self.change(slot, |ledger| {
+        self.update(slot, |ledger| {
             if ledger.streams.is_empty() {
                 ledger.remember(0.0, now_ms);
             }
             ledger.add(key, forecast);
         });
-        self.at_mut(slot)
+        self.slot_mut(slot)
     }
 
-    /// Takes a stream out.
+    /// Removes a stream from an engine.
     pub fn remove_stream(&mut self, target: TargetId, key: StreamKey, now_ms: u64) {
         let Some(slot) = self.by_id.get(&target).copied() else {
             return;
         };
-        self.looked(1);
-        self.change(slot, |ledger| {
+        self.count_checks(1);
+        self.update(slot, |ledger| {
             ledger.remove(key, now_ms);
             if ledger.streams.is_empty() {
                 ledger.remember(0.0, now_ms);
@@ -200,56 +202,62 @@
         });
     }
 
-    /// The engines that a decision weighs, in their order: all of a small pool; of a larger one the first idle ones, those
-    /// in the data centre `near` before others, and some more, which are others each time.
-    pub fn weighed(&mut self, near: Option<DataCentreId>, now_ms: u64) -> Vec<EngineSlot> {
-        if self.ledgers.len() <= WEIGHED_MAX {
+    /// The candidates for a decision, in order of insertion: all engines of a small pool. In a
+    /// larger one, the first idle engines, preferably in data centre `near`, and more from a
+    /// rotation over all engines that continues with each call.
+    pub fn candidates(&mut self, near: Option<DataCentreId>, now_ms: u64) -> Vec<EngineSlot> {
+        if self.ledgers.len() <= CANDIDATES_MAX {
             return self.ledgers.keys().copied().collect();
         }
-        let mut weighed: BTreeSet<EngineSlot> = BTreeSet::new();
+        let mut candidates: BTreeSet<EngineSlot> = BTreeSet::new();
         let near_idle = near.and_then(|near| self.idle.get(&near));
-        let bears = |slot: &&EngineSlot| self.bears_one_more(**slot, now_ms);
+        let has_budget = |slot: &&EngineSlot| self.bears_one_more(**slot, now_ms);
         if let Some(idle) = near_idle {
-            let looked_at = idle.iter().take(NEAR_IDLE * IDLE_LOOKS);
-            weighed.extend(looked_at.filter(bears).take(NEAR_IDLE));
+            let checked = idle.iter().take(NEAR_IDLE_MAX * IDLE_CHECKS_PER_CANDIDATE);
+            candidates.extend(checked.filter(has_budget).take(NEAR_IDLE_MAX));
         }
-        let elsewhere = self.idle.iter().filter(|(place, _)| Some(**place) != near);
-        let each = FAR_IDLE / elsewhere.clone().count().clamp(1, FAR_IDLE);
-        for (_, idle) in elsewhere.take(FAR_IDLE) {
-            let looked_at = idle.iter().take(each * IDLE_LOOKS);
-            weighed.extend(looked_at.filter(bears).take(each));
+        let elsewhere = self
+            .idle
+            .iter()
+            .filter(|(data_centre, _)| Some(**data_centre) != near);
+        let per_data_centre = FAR_IDLE_MAX / elsewhere.clone().count().clamp(1, FAR_IDLE_MAX);
+        for (_, idle) in elsewhere.take(FAR_IDLE_MAX) {
+            let checked = idle
+                .iter()
+                .take(per_data_centre * IDLE_CHECKS_PER_CANDIDATE);
+            candidates.extend(checked.filter(has_budget).take(per_data_centre));
         }
-        let more = WEIGHED_MAX - weighed.len();
-        weighed.extend(self.next_ones(more));
-        weighed.into_iter().collect()
+        let remaining = CANDIDATES_MAX - candidates.len();
+        candidates.extend(self.next_in_rotation(remaining));
+        candidates.into_iter().collect()
     }
 
-    /// The engines that come next in a round over all of them.
-    fn next_ones(&mut self, count: usize) -> Vec<EngineSlot> {
-        let after = self.ledgers.range(self.cursor..).map(|(slot, _)| *slot);
+    /// The next engines in the rotation over all of them.
+    fn next_in_rotation(&mut self, count: usize) -> Vec<EngineSlot> {
+        let from_cursor = self.ledgers.range(self.cursor..).map(|(slot, _)| *slot);
         let from_start = self.ledgers.keys().copied();
-        let mut round = after.chain(from_start);
-        let next: Vec<EngineSlot> = round.by_ref().take(count).collect();
-        self.cursor = round.next().unwrap_or_default();
+        let mut rotation = from_cursor.chain(from_start);
+        let next: Vec<EngineSlot> = rotation.by_ref().take(count).collect();
+        self.cursor = rotation.next().unwrap_or_default();
         next
     }
 
     fn bears_one_more(&self, slot: EngineSlot, now_ms: u64) -> bool {
-        self.looked(1);
+        self.count_checks(1);
         let ledger = self.ledgers.get(&slot);
         ledger.is_some_and(|ledger| ledger.bears_one_more(now_ms))
     }
 
-    /// Changes an engine, and notes again what it is found by.
-    fn change(&mut self, slot: EngineSlot, act: impl FnOnce(&mut EngineLedger)) {
-        self.forget(slot);
+    /// Changes an engine and updates the indexes.
+    fn update(&mut self, slot: EngineSlot, apply: impl FnOnce(&mut EngineLedger)) {
+        self.unindex(slot);
         if let Some(ledger) = self.ledgers.get_mut(&slot) {
-            act(ledger);
+            apply(ledger);
         }
-        self.note(slot);
+        self.index(slot);
     }
 
-    fn note(&mut self, slot: EngineSlot) {
+    fn index(&mut self, slot: EngineSlot) {
         let Some(ledger) = self.ledgers.get(&slot) else {
             return;
         };
@@ -262,14 +270,14 @@
                 self.busy.insert(slot);
             }
             true if is_live => {
-                let place = ledger.info.data_centre;
-                self.idle.entry(place).or_default().insert(slot);
+                let data_centre = ledger.info.data_centre;
+                self.idle.entry(data_centre).or_default().insert(slot);
             }
             true => {}
         }
     }
 
-    fn forget(&mut self, slot: EngineSlot) {
+    fn unindex(&mut self, slot: EngineSlot) {
         let Some(ledger) = self.ledgers.get(&slot) else {
             return;
         };
--- a/components/policy/src/placement/forecast_tests.rs
+++ b/components/policy/src/placement/forecast_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn keeps_a_margin_for_what_is_uncertain() {
+fn the_margin_raises_the_peak_of_an_uncertain_forecast() {
     let mut forecast = Forecast::default();
     forecast.add(100.0, |_| 0.5);
     assert!(forecast.peak_tokens(2.0) > forecast.peak_tokens(0.0));
--- a/components/policy/src/placement/ledger_tests.rs
+++ b/components/policy/src/placement/ledger_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn sees_load_that_others_placed() {
+fn estimates_load_from_elsewhere() {
     let mut ledger = ledger();
     for at_ms in 0..40 {
         ledger.remember(200.0, at_ms * 100);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn forgets_load_of_others_that_has_gone() {
+fn drops_load_from_elsewhere_that_has_ended() {
     let mut ledger = ledger();
     ledger.reported(report(0.9), 0, 0);
     for at_ms in 1..20 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn does_not_take_its_own_past_for_others_load() {
+fn does_not_count_its_own_earlier_load_as_foreign() {
     let mut ledger = ledger();
     ledger.remember(900.0, 0);
     ledger.remember(100.0, 300);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn takes_requests_between_two_steps_for_no_backlog() {
+fn requests_waiting_between_two_steps_are_no_memory_backlog() {
     let mut ledger = ledger();
     let mut between_steps = report(0.2);
     between_steps.waiting = 3;
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn counts_preemptions_of_one_life() {
+fn counts_preemptions_within_one_incarnation() {
     let mut ledger = ledger();
-    let with = |preemptions, life| EngineReport {
+    let report_with = |preemptions, incarnation| EngineReport {
         preemptions,
-        incarnation: TargetIncarnation(life),
+        incarnation: TargetIncarnation(incarnation),
         ..EngineReport::default()
     };
-    assert_eq!(ledger.reported(with(5, 1), 0, 0), 0);
-    assert_eq!(ledger.reported(with(7, 1), 0, 1), 2);
-    assert_eq!(ledger.reported(with(1, 2), 0, 2), 0);
+    assert_eq!(ledger.reported(report_with(5, 1), 0, 0), 0);
+    assert_eq!(ledger.reported(report_with(7, 1), 0, 1), 2);
+    assert_eq!(ledger.reported(report_with(1, 2), 0, 2), 0);
 }
--- a/components/policy/src/placement/length.rs
+++ b/components/policy/src/placement/length.rs
@@ -1,55 +1,55 @@
-//! How long will an answer be? A product-limit estimate (Kaplan and Meier, 1958) on logarithmic bins
-//! of output length, kept up while answers run: each bin counts the answers that reached it and those
-//! that ended in it. Answers that were cut, or that still run, count as reached and not as ended, so
+//! Estimates answer lengths with a product-limit estimator (Kaplan and Meier, 1958) on logarithmic
+//! bins of output length. Each bin counts the answers that reached it and those that ended in it,
+//! updated while answers run. Cancelled and running answers count as reached but not as ended, so
 //! the estimate is not biased short when engines are crowded.
 
 use prelude::AccountId;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// Bins to each doubling of the length.
+/// Bins per doubling of the length.
 const BINS_PER_DOUBLING: usize = 4;
-/// Doublings covered: up to 131,072 tokens.
+/// Number of doublings covered: up to 131,072 tokens.
 const DOUBLINGS: usize = 17;
 const BINS: usize = BINS_PER_DOUBLING * DOUBLINGS;
-/// Answers after which an old observation counts half.
+/// Number of answers after which the weight of an observation is halved.
 const HALF_LIFE_ANSWERS: f64 = 2000.0;
-/// How many answers of its own a class needs in a bin to weigh as much as its parent.
-const PARENT_WEIGHT: f64 = 20.0;
-/// Share of answers that end in a bin where nothing is known.
+/// Weight of the pool's estimate in a class's bin, in answers.
+const POOL_WEIGHT: f64 = 20.0;
+/// Prior hazard of a bin: the share of answers that end in it.
 const PRIOR_HAZARD: f64 = 0.08;
-/// The same for the shortest answers, below [`PRIOR_SHORT_TOKENS`].
+/// Prior hazard of bins below [`PRIOR_SHORT_TOKENS`].
 const PRIOR_SHORT_HAZARD: f64 = 0.01;
 const PRIOR_SHORT_TOKENS: f64 = 16.0;
-/// Weight of that prior, in answers.
+/// Weight of the prior, in answers.
 const PRIOR_WEIGHT: f64 = 5.0;
-/// Changes after which a survival table is computed anew.
+/// Number of changes after which a survival table is recomputed.
 const CHANGES_PER_TABLE: u32 = 32;
-/// An odd factor whose bits are spread evenly (two to the 64th by the golden ratio).
+/// Multiplier with evenly spread bits: 2^64 divided by the golden ratio, rounded to an odd number.
 const HASH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Weights are brought back to one when they pass this.
+/// Weights are rescaled to one above this limit.
 const WEIGHT_LIMIT: f64 = 1e12;
 
-/// Whose answers are alike in length.
+/// A class of answers with similar lengths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LengthClass {
     /// The account.
     pub account: AccountId,
-    /// Kind of request: whether it is urgent, streamed, or bounded short.
+    /// Kind of request: whether it is urgent, streamed, or limited to a short answer.
     pub kind: u8,
 }
 
-/// How an answer came to its end.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The model ended it.
+    /// The model finished its answer.
     Finished,
-    /// It was cut, cancelled or lost: it would have been longer.
+    /// It was cancelled, truncated or lost, and would have been longer.
     Censored,
 }
 
-/// The first lengths of the bins of one doubling, as parts of its first length.
-const PARTS: [f64; BINS_PER_DOUBLING + 1] = [
+/// Lower bounds of the bins within one doubling, relative to its start.
+const BIN_BOUNDS: [f64; BINS_PER_DOUBLING + 1] = [
     1.0,
     1.189_207_115_002_721,
     std::f64::consts::SQRT_2,
@@ -57,17 +57,17 @@
     2.0,
 ];
 
-/// The first length in a bin.
+/// The lower bound of a bin, in tokens.
 fn bin_start(bin: usize) -> f64 {
     let doubling = (1_u64 << (bin / BINS_PER_DOUBLING)) as f64;
-    doubling * PARTS[bin % BINS_PER_DOUBLING]
+    doubling * BIN_BOUNDS[bin % BINS_PER_DOUBLING]
 }
 
-/// Bits of a number of 64 bits that stand below its exponent, and what is added to that exponent.
+/// Layout of a 64-bit float: fraction bits and exponent bias.
 const FRACTION_BITS: u32 = 52;
 const EXPONENT_BIAS: u64 = 1_023;
 
-/// What is taken for known of a bin before anything was observed: hazard and weight.
+/// Prior hazard of a bin and its weight.
 fn prior(bin: usize) -> (f64, f64) {
     let short = bin_start(bin) < PRIOR_SHORT_TOKENS;
     let hazard = if short {
@@ -78,7 +78,7 @@
     (hazard, PRIOR_WEIGHT)
 }
 
-/// The bin of a length: its doubling is the exponent of the number, which costs no logarithm.
+/// The bin of a length. The exponent of the float gives the doubling without a logarithm.
 fn bin_of(tokens: f64) -> usize {
     let bits = tokens.max(1.0).to_bits();
     let doubling = ((bits >> FRACTION_BITS) - EXPONENT_BIAS) as usize;
@@ -86,10 +86,10 @@
         return BINS - 1;
     }
     let fraction = bits & ((1 << FRACTION_BITS) - 1);
-    let part = f64::from_bits(fraction | (EXPONENT_BIAS << FRACTION_BITS));
-    let above = PARTS[1..BINS_PER_DOUBLING].iter();
-    let within = above.filter(|first| part >= **first).count();
-    doubling * BINS_PER_DOUBLING + within
+    let ratio = f64::from_bits(fraction | (EXPONENT_BIAS << FRACTION_BITS));
+    let bounds = BIN_BOUNDS[1..BINS_PER_DOUBLING].iter();
+    let passed = bounds.filter(|bound| ratio >= **bound).count();
+    doubling * BINS_PER_DOUBLING + passed
 }
 
 #[derive(Clone, Debug)]
@@ -97,7 +97,8 @@
     reached: [f64; BINS],
     ended: [f64; BINS],
     weight: f64,
-    /// Share of answers that reach each bin's start. A table, as a forecast asks for hundreds of shares at a time.
+    /// Probability of reaching the start of each bin, precomputed because a forecast needs hundreds
+    /// of values at a time.
     survival: [f64; BINS + 1],
     changes: u32,
 }
@@ -115,7 +116,7 @@
         bins
     }
 
-    fn reach(&mut self, bin: usize, share: f64) {
+    fn add_reached(&mut self, bin: usize, share: f64) {
         self.reached[bin] += self.weight * share;
     }
 
@@ -123,8 +124,8 @@
         self.ended[bin] += self.weight;
     }
 
-    /// Makes everything observed so far weigh a little less.
-    fn age(&mut self) {
+    /// Reduces the weight of everything observed so far.
+    fn decay(&mut self) {
         self.weight *= (std::f64::consts::LN_2 / HALF_LIFE_ANSWERS).exp();
         if self.weight < WEIGHT_LIMIT {
             return;
@@ -152,34 +153,35 @@
         self.changes = 0;
     }
 
-    /// The share of answers longer than `tokens`.
-    fn longer(&self, tokens: f64) -> f64 {
+    /// The probability of an answer longer than `tokens`.
+    fn survival_at(&self, tokens: f64) -> f64 {
         let tokens = tokens.max(1.0);
         let bin = bin_of(tokens);
         let start = bin_start(bin);
-        let part = ((tokens - start) / (bin_start(bin + 1) - start)).clamp(0.0, 1.0);
+        let fraction = ((tokens - start) / (bin_start(bin + 1) - start)).clamp(0.0, 1.0);
         let low = self.survival[bin];
-        low + part * (self.survival[bin + 1] - low)
+        low + fraction * (self.survival[bin + 1] - low)
     }
 }
 
-/// Answers of one class that have come to a length.
+/// Survival of the answers of one class, given the tokens generated so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Survivor<'a> {
     bins: &'a Bins,
     generated: f64,
-    /// One by the share of answers that come to this length.
-    by_now: f64,
+    /// Reciprocal of the probability of reaching the current length.
+    inverse_survival: f64,
 }
 
 impl Survivor<'_> {
-    /// The share of them that goes on for more than `more` tokens.
+    /// The probability of generating more than `more` further tokens.
     pub fn share(&self, more: f64) -> f64 {
-        self.bins.longer(self.generated + more) * self.by_now
+        self.bins.survival_at(self.generated + more) * self.inverse_survival
     }
 }
 
-/// Hashes a class by one multiplication a part: a forecast looks the class of each stream up.
+/// Hashes a class with one multiplication per field, as a forecast looks up the class of each
+/// stream.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassHasher(u64);
 
@@ -194,17 +196,18 @@
         }
     }
 
-    fn write_u8(&mut self, part: u8) {
-        self.write_u64(u64::from(part));
+    fn write_u8(&mut self, field: u8) {
+        self.write_u64(u64::from(field));
     }
 
-    fn write_u64(&mut self, part: u64) {
-        let mixed = (self.0.rotate_left(5) ^ part).wrapping_mul(HASH_FACTOR);
+    fn write_u64(&mut self, field: u64) {
+        let mixed = (self.0.rotate_left(5) ^ field).wrapping_mul(HASH_FACTOR);
         self.0 = mixed ^ (mixed >> 32);
     }
 }
 
-/// Length estimates for one pool: a class is shrunk towards the whole pool, bin by bin.
+/// Length estimates of one pool. The estimate of a class shrinks towards that of the pool, bin by
+/// bin.
 #[derive(Clone, Debug)]
 pub struct LengthModel {
     pool: Bins,
@@ -221,7 +224,7 @@
 }
 
 impl LengthModel {
-    /// Notes that an answer of `class` grew from `from_tokens` to `to_tokens` and goes on.
+    /// Records that a running answer of `class` grew from `from_tokens` to `to_tokens`.
     pub fn grew(&mut self, class: LengthClass, from_tokens: u32, to_tokens: u32) {
         let from = bin_of(f64::from(from_tokens.max(1)));
         let to = bin_of(f64::from(to_tokens.max(1)));
@@ -230,46 +233,46 @@
         }
         let bins = self.classes.entry(class).or_insert_with(Bins::new);
         for bin in from..to {
-            bins.reach(bin, 1.0);
-            self.pool.reach(bin, 1.0);
+            bins.add_reached(bin, 1.0);
+            self.pool.add_reached(bin, 1.0);
         }
-        self.changed(class);
+        self.record_change(class);
     }
 
-    /// Notes that an answer of `class` ended at `tokens`.
+    /// Records that an answer of `class` ended at `tokens`.
     pub fn ended(&mut self, class: LengthClass, tokens: u32, end: End) {
         let bin = bin_of(f64::from(tokens.max(1)));
         let bins = self.classes.entry(class).or_insert_with(Bins::new);
         for bins in [bins, &mut self.pool] {
             match end {
                 End::Finished => {
-                    bins.reach(bin, 1.0);
+                    bins.add_reached(bin, 1.0);
                     bins.end(bin);
                 }
-                End::Censored => bins.reach(bin, 0.5),
+                End::Censored => bins.add_reached(bin, 0.5),
             }
-            bins.age();
+            bins.decay();
         }
-        self.changed(class);
+        self.record_change(class);
     }
 
-    /// The share of answers that go on for more than `more` tokens, among those of `class` that have
-    /// `generated` already.
+    /// The probability that an answer of `class` with `generated` tokens generates more than `more`
+    /// further ones.
     pub fn survival(&self, class: LengthClass, generated: f64, more: f64) -> f64 {
         self.survivor(class, generated).share(more)
     }
 
-    /// The answers of `class` that have `generated` tokens already.
+    /// The survival of answers of `class` that have generated `generated` tokens.
     pub fn survivor(&self, class: LengthClass, generated: f64) -> Survivor<'_> {
         let bins = self.classes.get(&class).unwrap_or(&self.pool);
         Survivor {
             bins,
             generated,
-            by_now: bins.longer(generated).recip(),
+            inverse_survival: bins.survival_at(generated).recip(),
         }
     }
 
-    fn changed(&mut self, class: LengthClass) {
+    fn record_change(&mut self, class: LengthClass) {
         self.pool.changes += 1;
         if self.pool.changes >= CHANGES_PER_TABLE {
             self.pool.tabulate(prior);
@@ -280,7 +283,7 @@
         bins.changes += 1;
         if bins.changes >= CHANGES_PER_TABLE {
             let pool = &self.pool;
-            bins.tabulate(|bin| (pool.hazard(bin, prior(bin)), PARENT_WEIGHT));
+            bins.tabulate(|bin| (pool.hazard(bin, prior(bin)), POOL_WEIGHT));
         }
     }
 }
--- a/components/policy/src/placement/length_tests.rs
+++ b/components/policy/src/placement/length_tests.rs
@@ -7,7 +7,8 @@
     kind: 0,
 };
 
-/// Records answers of exponential length with mean `mean`, cut at `cut` tokens where given.
+/// Records answers of exponentially distributed length with mean `mean`, censored at `cut` tokens
+/// if given.
 fn train(model: &mut LengthModel, class: LengthClass, mean: f64, cut: Option<u32>, count: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..count {
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn learns_how_long_answers_are() {
+fn estimates_survival_from_finished_answers() {
     let mut model = LengthModel::default();
     train(&mut model, CLASS, 200.0, None, 4000);
     let survival = model.survival(CLASS, 0.0, 200.0);
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn is_not_biased_short_by_cut_answers() {
+fn censored_answers_do_not_bias_the_estimate_short() {
     let mut model = LengthModel::default();
     train(&mut model, CLASS, 200.0, Some(100), 4000);
     let survival = model.survival(CLASS, 0.0, 90.0);
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn counts_running_answers_as_reached() {
+fn running_answers_count_as_reached() {
     let mut model = LengthModel::default();
     train(&mut model, CLASS, 20.0, None, 500);
     let before = model.survival(CLASS, 0.0, 200.0);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn takes_unknown_class_for_the_pool() {
+fn an_unknown_class_uses_the_estimate_of_the_pool() {
     let mut model = LengthModel::default();
     train(&mut model, CLASS, 50.0, None, 2000);
     let other = LengthClass {
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn follows_a_shift_of_length() {
+fn adapts_to_a_shift_of_lengths() {
     let mut model = LengthModel::default();
     train(&mut model, CLASS, 50.0, None, 4000);
     let short = model.survival(CLASS, 0.0, 200.0);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn bins_lie_between_their_first_lengths() {
+fn bins_lie_between_their_bounds() {
     for bin in 0..BINS {
         assert_eq!(bin_of(bin_start(bin) * 1.001), bin);
         assert_eq!(bin_of(bin_start(bin + 1) * 0.999), bin);
--- a/components/policy/src/placement/links.rs
+++ b/components/policy/src/placement/links.rs
@@ -1,61 +1,63 @@
-//! Turns on the link of an engine that generations leave. Copies on one link go one after another: were all
-//! begun at once, the last part of the first, for which it stands still, would wait for the others.
+//! Transfer slots for the links of engines that generations leave. Copies on a link run one at a
+//! time: if all started at once, the last part of the first copy, during which its generation is
+//! stopped, would wait for the others.
 
 use prelude::{PermitId, TargetId};
 use std::collections::HashMap;
 
-/// A turn ends by itself after this time: whoever had it is gone.
-const TURN_MS: u64 = 1_500;
-/// Whoever does not ask again within this time waits no more.
-const ASKED_MS: u64 = 500;
+/// A slot expires after this time, in case its holder is gone.
+const SLOT_TIMEOUT_MS: u64 = 1_500;
+/// A waiter that does not ask again within this time is dropped.
+const WAITER_TTL_MS: u64 = 500;
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
-    held_tokens: u32,
-    asked_ms: u64,
+struct Waiter {
+    copy_tokens: u32,
+    last_asked_ms: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Link {
     holder: Option<(PermitId, TargetId, u64)>,
-    waiting: HashMap<PermitId, Waiting>,
+    waiting: HashMap<PermitId, Waiter>,
 }
 
-/// The links that generations leave.
+/// The transfer slots of all links that generations leave.
 #[derive(Clone, Debug, Default)]
 pub struct Turns(HashMap<TargetId, Link>);
 
 impl Turns {
-    /// Asks for a turn on the link of `from`. The smallest goes first: so the most leave in time. True where
-    /// the turn is its own.
-    pub fn ask(&mut self, from: TargetId, permit: PermitId, held_tokens: u32, now_ms: u64) -> bool {
+    /// Tries to acquire the slot on the link of `from`. Waiters with the smallest copy go first, so
+    /// that the most generations leave in time. Returns true if the slot is available or already
+    /// held.
+    pub fn ask(&mut self, from: TargetId, permit: PermitId, copy_tokens: u32, now_ms: u64) -> bool {
         let link = self.0.entry(from).or_default();
         link.waiting
-            .retain(|_, waiting| waiting.asked_ms + ASKED_MS > now_ms);
+            .retain(|_, waiting| waiting.last_asked_ms + WAITER_TTL_MS > now_ms);
         if let Some((holder, _, until_ms)) = link.holder {
             if holder == permit {
                 return true;
             }
             if now_ms < until_ms {
-                let asked_ms = now_ms;
-                let waiting = Waiting {
-                    held_tokens,
-                    asked_ms,
+                let last_asked_ms = now_ms;
+                let waiting = Waiter {
+                    copy_tokens,
+                    last_asked_ms,
                 };
                 link.waiting.insert(permit, waiting);
                 return false;
             }
             link.holder = None;
         }
-        let smaller = link
+        let has_smaller = link
             .waiting
             .iter()
-            .any(|(other, waiting)| *other != permit && waiting.held_tokens < held_tokens);
-        if smaller {
-            let asked_ms = now_ms;
-            let waiting = Waiting {
-                held_tokens,
-                asked_ms,
+            .any(|(other, waiting)| *other != permit && waiting.copy_tokens < copy_tokens);
+        if has_smaller {
+            let last_asked_ms = now_ms;
+            let waiting = Waiter {
+                copy_tokens,
+                last_asked_ms,
             };
             link.waiting.insert(permit, waiting);
             return false;
@@ -64,13 +66,13 @@
         true
     }
 
-    /// Notes whose turn it is, and where its copy goes.
+    /// Records that a copy to `to` takes the slot.
     pub fn begin(&mut self, from: TargetId, permit: PermitId, to: TargetId, now_ms: u64) {
         let link = self.0.entry(from).or_default();
-        link.holder = Some((permit, to, now_ms + TURN_MS));
+        link.holder = Some((permit, to, now_ms + SLOT_TIMEOUT_MS));
     }
 
-    /// Notes that a turn is over.
+    /// Releases the slot, or withdraws a waiter.
     pub fn end(&mut self, from: TargetId, permit: PermitId) {
         let Some(link) = self.0.get_mut(&from) else {
             return;
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The engines to which copies are on their way.
+    /// The engines that are receiving copies.
     pub fn arriving(&self, now_ms: u64) -> Vec<TargetId> {
         let holders = self.0.values().filter_map(|link| link.holder);
         holders
--- a/components/policy/src/placement/links_tests.rs
+++ b/components/policy/src/placement/links_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn gives_one_turn_at_a_time_to_the_smallest() {
+fn grants_one_slot_at_a_time_to_the_smallest_copy() {
     let mut turns = Turns::default();
     assert!(turns.ask(LINK, permit(1), 3000, 0));
     turns.begin(LINK, permit(1), TO, 0);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn takes_a_turn_back_from_one_that_is_gone() {
+fn expires_the_slot_of_a_lost_holder() {
     let mut turns = Turns::default();
     turns.begin(LINK, permit(1), TO, 0);
     assert_eq!(turns.arriving(10), [TO]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn does_not_wait_for_one_that_asks_no_more() {
+fn drops_a_waiter_that_stops_asking() {
     let mut turns = Turns::default();
     turns.begin(LINK, permit(1), TO, 0);
     assert!(!turns.ask(LINK, permit(2), 10, 1));
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -1,4 +1,4 @@
-//! Placement by what one box sees alone: the baselines, and what a box falls back on while its
+//! Placement by the local knowledge of one box: the baseline policies, and the fallback while its
 //! dispatcher is silent.
 
 use crate::demand::Verdict;
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// An engine as one box sees it.
+/// An engine as seen by one box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalTarget {
     /// The engine.
@@ -20,7 +20,7 @@
     pub own_open: u32,
     /// Streams that this box opened since the last report.
     pub own_since_report: u32,
-    /// Requests that run or wait there, by its last report.
+    /// Requests that run or wait there according to its last report.
     pub reported: u32,
 }
 
@@ -36,7 +36,7 @@
     avoid: Avoided,
 }
 
-/// What one box knows of a pool, and the requests that wait for room under a concurrency limit.
+/// One box's view of a pool, and the requests waiting under the concurrency limit.
 pub struct LocalPool {
     kind: PolicyKind,
     limit: u32,
@@ -46,11 +46,12 @@
     rng: ChaCha8Rng,
 }
 
-/// When a caller who was refused shall come back, where nothing better is known.
+/// Default time after which a refused caller should retry.
 const RETRY_AFTER_MS: u64 = 1000;
 
 impl LocalPool {
-    /// An empty pool. `limit` is the number of open streams an engine may have, 0 for no limit.
+    /// Creates an empty pool. `limit` is the maximum number of open streams per engine, 0 for no
+    /// limit.
     pub fn new(kind: PolicyKind, limit: u32, seed: u64) -> Self {
         Self {
             kind,
@@ -62,17 +63,17 @@
         }
     }
 
-    /// Changes policy and limit.
+    /// Changes the policy and the limit.
     pub fn set_kind(&mut self, kind: PolicyKind, limit: u32) {
         self.kind = kind;
         self.limit = limit;
     }
 
-    /// Sets which engines there are and whether they take new work.
+    /// Replaces the list of engines and their states.
     pub fn set_targets(&mut self, targets: &[(TargetId, EngineState)]) {
-        let known = std::mem::take(&mut self.targets);
+        let previous = std::mem::take(&mut self.targets);
         for (id, state) in targets {
-            let mut target = known.iter().find(|target| target.id == *id).copied();
+            let mut target = previous.iter().find(|target| target.id == *id).copied();
             let target = target.get_or_insert(LocalTarget {
                 id: *id,
                 state: *state,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes an engine's report in.
+    /// Applies an engine's report.
     pub fn report(&mut self, target: TargetId, running: u32, waiting: u32) {
         if let Some(known) = self.target_mut(target) {
             known.reported = running + waiting;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Adds a request that waits.
+    /// Queues a request.
     pub fn submit(&mut self, permit: PermitId, deadline_ms: u64, avoid: Avoided) {
         self.queue.push_back(Waiting {
             permit,
@@ -102,12 +103,12 @@
         });
     }
 
-    /// Takes back a request that waits.
+    /// Removes a queued request.
     pub fn withdraw(&mut self, permit: PermitId) {
         self.queue.retain(|waiting| waiting.permit != permit);
     }
 
-    /// Places what there is room for, in the order of arrival.
+    /// Places requests in order of arrival while there is room.
     pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         let mut verdicts = Vec::new();
         while let Some(waiting) = self.queue.front() {
@@ -133,7 +134,7 @@
         verdicts
     }
 
-    /// Notes a stream that another way of placing opened.
+    /// Records a stream that was opened here or by a dispatcher's grant.
     pub fn opened(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
             known.own_open += 1;
@@ -141,19 +142,19 @@
         }
     }
 
-    /// Notes that a stream ended.
+    /// Records that a stream ended.
     pub fn closed(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
             known.own_open = known.own_open.saturating_sub(1);
         }
     }
 
-    /// What is known of each engine.
+    /// The known state of each engine.
     pub fn targets(&self) -> &[LocalTarget] {
         &self.targets
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
@@ -167,32 +168,32 @@
         let has_room = |target: &&LocalTarget| {
             target.state == EngineState::Live && (limit == 0 || target.load() < limit)
         };
-        let open: Vec<LocalTarget> = self.targets.iter().filter(has_room).copied().collect();
-        let preferred: Vec<LocalTarget> = open
+        let available: Vec<LocalTarget> = self.targets.iter().filter(has_room).copied().collect();
+        let preferred: Vec<LocalTarget> = available
             .iter()
             .filter(|target| !avoid.contains(target.id))
             .copied()
             .collect();
-        let choices = if preferred.is_empty() {
-            open
+        let candidates = if preferred.is_empty() {
+            available
         } else {
             preferred
         };
-        if choices.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let chosen = match self.kind {
             PolicyKind::RoundRobin => {
                 self.next = self.next.wrapping_add(1);
-                choices[self.next % choices.len()]
+                candidates[self.next % candidates.len()]
             }
             PolicyKind::LeastLoad => {
-                let least = choices.iter().min_by_key(|target| target.reported);
-                *least.unwrap_or(&choices[0])
+                let least = candidates.iter().min_by_key(|target| target.reported);
+                *least.unwrap_or(&candidates[0])
             }
             PolicyKind::TwoChoices | PolicyKind::Shuntpier | PolicyKind::Oracle => {
-                let first = choices[self.rng.random_range(0..choices.len())];
-                let second = choices[self.rng.random_range(0..choices.len())];
+                let first = candidates[self.rng.random_range(0..candidates.len())];
+                let second = candidates[self.rng.random_range(0..candidates.len())];
                 if second.load() < first.load() {
                     second
                 } else {
--- a/components/policy/src/placement/local_tests.rs
+++ b/components/policy/src/placement/local_tests.rs
@@ -25,7 +25,7 @@
 #[case(PolicyKind::RoundRobin)]
 #[case(PolicyKind::LeastLoad)]
 #[case(PolicyKind::TwoChoices)]
-fn keeps_its_limit(#[case] kind: PolicyKind) {
+fn respects_the_concurrency_limit(#[case] kind: PolicyKind) {
     let mut pool = pool(kind, 2);
     assert_eq!(submit(&mut pool, 10), 6);
     pool.closed(TargetId(1));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn refuses_where_no_engine_is_live() {
+fn refuses_when_no_engine_is_live() {
     let mut pool = pool(PolicyKind::TwoChoices, 0);
     pool.set_targets(&[(TargetId(1), EngineState::Leaving)]);
     submit(&mut pool, 1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn turns_in_round_robin() {
+fn round_robin_spreads_streams_evenly() {
     let mut pool = pool(PolicyKind::RoundRobin, 0);
     submit(&mut pool, 9);
     assert!(pool.targets().iter().all(|target| target.own_open == 3));
--- a/components/policy/src/placement/mod.rs
+++ b/components/policy/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which target takes what: memory, reading, lengths, moves.
+//! Placement: memory forecasts, pending prefill, answer lengths and relocation of generations.
 
 pub(crate) mod choose;
 pub(crate) mod engine_set;
--- a/components/policy/src/placement/prefixes_tests.rs
+++ b/components/policy/src/placement/prefixes_tests.rs
@@ -3,24 +3,24 @@
 const ENGINE: TargetId = TargetId(1);
 
 #[test]
-fn forgets_what_was_removed() {
+fn a_removed_prefix_has_no_confidence() {
     let mut index = PrefixIndex::default();
     index.event(ENGINE, 1, 9, true, 0);
-    assert_eq!(index.worth(ENGINE, 9, 0), 1.0);
+    assert_eq!(index.confidence(ENGINE, 9, 0), 1.0);
     index.event(ENGINE, 2, 9, false, 0);
-    assert_eq!(index.worth(ENGINE, 9, 0), 0.0);
+    assert_eq!(index.confidence(ENGINE, 9, 0), 0.0);
 }
 
 #[test]
-fn trusts_hints_less_after_a_gap() {
+fn an_event_gap_reduces_confidence() {
     let mut index = PrefixIndex::default();
     index.event(ENGINE, 1, 9, true, 0);
     index.event(ENGINE, 5, 8, true, 0);
-    assert_eq!(index.worth(ENGINE, 9, 0), WORTH_AFTER_GAP);
+    assert_eq!(index.confidence(ENGINE, 9, 0), CONFIDENCE_AFTER_GAP);
 }
 
 #[test]
-fn stays_within_its_bound() {
+fn stays_within_its_size_limit() {
     let mut index = PrefixIndex::default();
     for prefix in 0..3 * ENTRIES_MAX as u64 {
         index.note(ENGINE, prefix, prefix);
--- a/components/policy/src/placement/reading.rs
+++ b/components/policy/src/placement/reading.rs
@@ -1,28 +1,30 @@
-//! How long an engine will be reading prompts. An engine reads one prompt after another, in the order in which they
-//! came, at a nearly steady rate: a burst of prompts then waits in engines that have all the memory they need. So the
-//! prompts that are still to be read, and the rate at which each engine was seen to read, forecast when the first token
-//! of one more would come.
+//! Forecast of an engine's pending prefill. An engine prefills prompts one at a time in order of
+//! arrival at a nearly constant rate, so a burst of prompts can queue on engines with plenty of
+//! free memory. The pending prompts and the observed prefill rate give the first-token time of one
+//! more prompt.
 //!
-//! Load patterns that this answers: a calm wave on which prompts meet at one engine while others read nothing; bursts
-//! of long prompts; engines that are slower than others, cold, or that stand still.
+//! This handles uneven load where prompts meet on one engine while others are idle, bursts of long
+//! prompts, and engines that are slow, cold or stalled.
 
 use crate::placement::ledger::StreamKey;
 use std::collections::VecDeque;
 
-/// Rate before any was observed, in tokens per millisecond: low, so that a pool that knows nothing does not gather
-/// prompts at one engine.
-const RATE_INITIAL: f64 = 5.0;
-/// Least weight of one observation in the pool's rate: some fifty prompts, less than a second of a busy pool.
+/// Initial rate in tokens per millisecond: low, so that a new pool does not pile prompts on one
+/// engine.
+const RATE_INITIAL_TOKENS_PER_MS: f64 = 5.0;
+/// Minimum weight of an observation in the pool's rate: averages over about fifty prompts, less
+/// than a second of a busy pool.
 const POOL_WEIGHT_MIN: f64 = 0.02;
-/// Weight of one observation in an engine's own rate: three or four prompts, one to two seconds of a busy engine.
+/// Weight of an observation in an engine's relative rate: averages over three or four prompts, one
+/// to two seconds of a busy engine.
 const ENGINE_WEIGHT: f64 = 0.25;
-/// How far one observation may lie from the pool's rate. Parts of prompts that an engine has kept read in no time, and
-/// a report that comes late makes a prompt look slow: neither is the engine's rate.
-const RATE_SPAN: f64 = 4.0;
-/// Shorter prompts are read within a step or two, which says little of the rate.
+/// Maximum factor between an observation and the pool's rate. Cached prompt prefixes need almost no
+/// time and late reports make a prompt look slow; neither reflects the engine's rate.
+const RATE_FACTOR_MAX: f64 = 4.0;
+/// Shorter prompts finish within a step or two and say little about the rate.
 const PROMPT_TOKENS_MIN: u32 = 256;
 
-/// The rate at which the engines of a pool read, as their first tokens showed it.
+/// The prefill rate of a pool's engines, estimated from first tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadingRate {
     tokens_per_ms: f64,
@@ -32,7 +34,7 @@
 impl Default for ReadingRate {
     fn default() -> Self {
         Self {
-            tokens_per_ms: RATE_INITIAL,
+            tokens_per_ms: RATE_INITIAL_TOKENS_PER_MS,
             observations: 0.0,
         }
     }
@@ -57,84 +59,85 @@
     tokens: u32,
 }
 
-/// The prompts that one engine has still to read.
+/// Prompts whose prefill is pending on one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
     prompts: VecDeque<Prompt>,
-    /// When the engine turned to the first of them, at the earliest.
-    since_ms: u64,
-    /// The engine's own rate relative to the pool's; none before it was observed.
+    /// The earliest time at which the engine started on the first prompt.
+    started_ms: u64,
+    /// The engine's rate relative to the pool's; `None` before the first observation.
     relative_rate: Option<f64>,
 }
 
 impl Reading {
-    /// Notes that a prompt was sent to the engine.
+    /// Records that a prompt was sent to the engine.
     pub fn sent(&mut self, key: StreamKey, tokens: u32, now_ms: u64) {
         if self.prompts.is_empty() {
-            self.since_ms = now_ms;
+            self.started_ms = now_ms;
         }
         self.prompts.push_back(Prompt { key, tokens });
     }
 
-    /// Notes that the first token of a prompt came, from which the rate is learnt.
+    /// Records the first token of a prompt and updates the rate.
     pub fn first_token(&mut self, key: StreamKey, now_ms: u64, pool: &mut ReadingRate) {
-        let Some(at) = self.prompts.iter().position(|prompt| prompt.key == key) else {
+        let Some(index) = self.prompts.iter().position(|prompt| prompt.key == key) else {
             return;
         };
-        let tokens = self.prompts[at].tokens;
-        let elapsed_ms = now_ms.saturating_sub(self.since_ms);
-        if at == 0 && elapsed_ms > 0 && tokens >= PROMPT_TOKENS_MIN {
+        let tokens = self.prompts[index].tokens;
+        let elapsed_ms = now_ms.saturating_sub(self.started_ms);
+        if index == 0 && elapsed_ms > 0 && tokens >= PROMPT_TOKENS_MIN {
             self.observe(f64::from(tokens) / elapsed_ms as f64, pool);
         }
-        self.prompts.remove(at);
-        self.since_ms = now_ms;
+        self.prompts.remove(index);
+        self.started_ms = now_ms;
     }
 
     fn observe(&mut self, tokens_per_ms: f64, pool: &mut ReadingRate) {
-        let usual = pool.tokens_per_ms();
+        let baseline = pool.tokens_per_ms();
         let observed = match pool.observations > 0.0 {
-            true => tokens_per_ms.clamp(usual / RATE_SPAN, usual * RATE_SPAN),
+            true => tokens_per_ms.clamp(baseline / RATE_FACTOR_MAX, baseline * RATE_FACTOR_MAX),
             false => tokens_per_ms,
         };
         pool.observe(observed);
         let relative = observed / pool.tokens_per_ms();
-        let known = self.relative_rate.unwrap_or(1.0);
-        self.relative_rate = Some(known + ENGINE_WEIGHT * (relative - known));
+        let previous = self.relative_rate.unwrap_or(1.0);
+        self.relative_rate = Some(previous + ENGINE_WEIGHT * (relative - previous));
     }
 
-    /// Notes that a stream left the engine, or ended.
+    /// Removes a stream that left the engine or ended.
     pub fn left(&mut self, key: StreamKey, now_ms: u64) {
         let first = self.prompts.front().map(|prompt| prompt.key);
         self.prompts.retain(|prompt| prompt.key != key);
         if first == Some(key) {
-            self.since_ms = now_ms;
+            self.started_ms = now_ms;
         }
     }
 
-    /// Whether nothing is left to be read.
+    /// Whether no prefill is pending.
     pub fn is_idle(&self) -> bool {
         self.prompts.is_empty()
     }
 
-    /// Tokens that are left to be read, as they were sent.
+    /// Pending prompt tokens. A partly processed prompt counts in full.
     pub fn tokens(&self) -> u64 {
         let tokens = self.prompts.iter().map(|prompt| u64::from(prompt.tokens));
         tokens.sum()
     }
 
-    /// The engine's rate in tokens per millisecond.
+    /// The engine's prefill rate in tokens per millisecond.
     pub fn rate(&self, pool: &ReadingRate) -> f64 {
         pool.tokens_per_ms() * self.relative_rate.unwrap_or(1.0)
     }
 
-    /// Time until the engine has read what it was sent. A prompt that is overdue is expected to take as long again as
-    /// it is overdue: an engine that stands still looks the longer the longer it does.
+    /// Expected time until the pending prefill is done, in milliseconds. An overdue prompt is
+    /// expected to take as long again as it is overdue, so the estimate for a stalled engine keeps
+    /// growing.
     pub fn left_ms(&self, pool: &ReadingRate, now_ms: u64) -> f64 {
         let Some(first) = self.prompts.front() else {
             return 0.0;
         };
         let rate = self.rate(pool);
-        let elapsed_ms = now_ms.saturating_sub(self.since_ms) as f64;
+        let elapsed_ms = now_ms.saturating_sub(self.started_ms) as f64;
         let first_ms = f64::from(first.tokens) / rate;
         let others = self.tokens() - u64::from(first.tokens);
         (first_ms - elapsed_ms).abs() + others as f64 / rate
--- a/components/policy/src/placement/reading_tests.rs
+++ b/components/policy/src/placement/reading_tests.rs
@@ -6,16 +6,16 @@
     std::array::from_fn(|_| arena.insert(()))
 }
 
-fn learnt(rate: f64) -> ReadingRate {
+fn pool_rate(rate: f64) -> ReadingRate {
     let mut pool = ReadingRate::default();
     pool.observe(rate);
     pool
 }
 
 #[test]
-fn prompts_are_read_one_after_another() {
+fn prompts_are_prefilled_one_at_a_time() {
     let [first, second] = keys();
-    let pool = learnt(10.0);
+    let pool = pool_rate(10.0);
     let mut reading = Reading::default();
     reading.sent(first, 1_000, 0);
     reading.sent(second, 2_000, 0);
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn a_rate_is_learnt_within_some_prompts() {
+fn the_rate_of_an_engine_converges_within_12_prompts() {
     let all: [StreamKey; 12] = keys();
-    let mut pool = learnt(10.0);
+    let mut pool = pool_rate(10.0);
     let mut reading = Reading::default();
     let mut now_ms = 0;
     for key in all {
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn a_prompt_that_is_overdue_looks_the_longer_the_longer_it_is() {
+fn an_overdue_prompt_is_expected_to_take_as_long_again() {
     let [key] = keys();
-    let pool = learnt(10.0);
+    let pool = pool_rate(10.0);
     let mut reading = Reading::default();
     reading.sent(key, 1_000, 0);
     assert_eq!(reading.left_ms(&pool, 100), 0.0);
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn a_prompt_that_leaves_is_not_waited_for() {
+fn a_removed_prompt_does_not_delay_the_next() {
     let [first, second] = keys();
-    let pool = learnt(10.0);
+    let pool = pool_rate(10.0);
     let mut reading = Reading::default();
     reading.sent(first, 1_000, 0);
     reading.sent(second, 500, 0);
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn absurd_prompts_are_bounded_in_what_they_teach() {
+fn extreme_observations_are_clamped() {
     let [first, second] = keys();
-    let mut pool = learnt(10.0);
+    let mut pool = pool_rate(10.0);
     let mut reading = Reading::default();
     reading.sent(first, u32::MAX, 0);
     reading.first_token(first, 1, &mut pool);
-    assert!(pool.tokens_per_ms() <= 10.0 * RATE_SPAN);
+    assert!(pool.tokens_per_ms() <= 10.0 * RATE_FACTOR_MAX);
     reading.sent(second, 1_000, 1);
     reading.first_token(second, 10_000_000, &mut pool);
-    assert!(pool.tokens_per_ms() >= 10.0 / RATE_SPAN);
+    assert!(pool.tokens_per_ms() >= 10.0 / RATE_FACTOR_MAX);
 }
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -1,4 +1,5 @@
-//! A generation goes on at another engine: which one has room for what it holds and will still make.
+//! Relocation of a running generation to another engine with room for its current and expected
+//! tokens.
 
 use crate::pace::felt::{PauseView, Pausing};
 use crate::placement::forecast::Forecast;
@@ -6,32 +7,34 @@
 use crate::pool::Pool;
 use prelude::{DataCentreId, PermitId, TargetId};
 
-/// A copy that arrives at an engine and the next one there each take twice as long; so much memory is such an engine
-/// taken to have less: twice what a copy to another data centre counts for, which takes twice as long by itself.
-const ARRIVAL_TOKENS: f64 = 24_000.0;
+/// Score penalty, in tokens of memory, per copy already in progress to an engine: two concurrent
+/// copies to one engine each take twice as long. It is twice the default penalty of a copy to
+/// another data centre, which takes twice as long on its own.
+const INBOUND_COPY_COST_TOKENS: f64 = 24_000.0;
 
-/// Share of an engine's memory that stays free where a generation goes that may as well stay: under load, moving whatever
-/// fits costs others more than it gains.
-const AMPLE_SHARE: f64 = 0.5;
+/// Share of an engine's memory that an optional move must leave free: under load, moving whatever
+/// fits costs other generations more than it gains.
+const OPTIONAL_MOVE_FREE_SHARE: f64 = 0.5;
 
-/// A running generation that is to go on at another engine.
+/// A request to move a running generation to another engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Relocation<'a> {
     /// Its permit.
     pub permit: PermitId,
-    /// The engine that it leaves.
+    /// The engine to leave.
     pub from: TargetId,
-    /// Engines that had no room or no way.
+    /// Engines to avoid because they had no room or could not be reached.
     pub avoid: &'a [TargetId],
-    /// Engines to which copies are on their way.
+    /// Engines that are receiving copies.
     pub arriving: &'a [TargetId],
-    /// The engine serves what it has: the generation goes only where there is ample room.
+    /// Whether the generation can stay where it is, so that it moves only if there is ample room.
     pub may_stay: bool,
 }
 
 impl Pool {
-    /// Finds another engine for a running generation, and moves its permit there, so that its room is taken from
-    /// now on. None where no engine can take it; its permit then stays where it is.
+    /// Finds another engine for a running generation and moves its permit there, which reserves the
+    /// memory immediately. Returns `None` and leaves the permit where it is if no engine can take
+    /// it.
     pub fn relocate(&mut self, relocation: &Relocation<'_>, now_ms: u64) -> Option<TargetId> {
         let Relocation {
             permit,
@@ -44,15 +47,15 @@
         let stream = self.streams.get(key)?;
         let current = stream.target;
         let (prompt_tokens, generated_tokens) = (stream.prompt_tokens, stream.generated_tokens);
-        let held = f64::from(stream.prompt_tokens) + f64::from(stream.generated_tokens);
+        let used_tokens = f64::from(stream.prompt_tokens) + f64::from(stream.generated_tokens);
         let generated = f64::from(stream.generated_tokens);
         let goal_ms = stream.goal_left_ms();
         let rest_tokens = stream.rest_tokens();
-        let mut more = Forecast::default();
-        more.add(held, stream.survival(&self.lengths, generated));
-        let place = self.data_centre_of(from);
+        let mut forecast = Forecast::default();
+        forecast.add(used_tokens, stream.survival(&self.lengths, generated));
+        let data_centre = self.data_centre_of(from);
         let margin = self.margin_in_use();
-        let near_copy = f64::from(self.settings.near_copy_tokens);
+        let near_bonus = f64::from(self.settings.near_copy_tokens);
         let view = RoomView {
             streams: &self.streams,
             lengths: &self.lengths,
@@ -75,34 +78,36 @@
             prompt_tokens: 0.0,
         };
         let mut best: Option<(f64, TargetId)> = None;
-        for slot in self.engines.weighed(place, now_ms) {
-            let Some(ledger) = self.engines.at_mut(slot) else {
+        for slot in self.engines.candidates(data_centre, now_ms) {
+            let Some(ledger) = self.engines.slot_mut(slot) else {
                 continue;
             };
             let id = ledger.info.id;
-            let takes = ledger.state == EngineState::Live && ledger.bears_one_more(now_ms);
-            if !takes || id == from || avoid.contains(&id) {
+            let is_eligible = ledger.state == EngineState::Live && ledger.bears_one_more(now_ms);
+            if !is_eligible || id == from || avoid.contains(&id) {
                 continue;
             }
-            let left = ledger.room_left(&view, &more);
-            let kept_free = match may_stay {
-                true => ledger.info.capacity_tokens as f64 * AMPLE_SHARE,
+            let free = ledger.room_left(&view, &forecast);
+            let required_free = match may_stay {
+                true => ledger.info.capacity_tokens as f64 * OPTIONAL_MOVE_FREE_SHARE,
                 false => 0.0,
             };
-            if left < kept_free {
+            if free < required_free {
                 continue;
             }
-            let near = f64::from(u8::from(place == Some(ledger.info.data_centre)));
-            let busy = arriving.iter().filter(|other| **other == id).count() as f64;
-            let paused = pauses.pause_tokens(ledger, &pausing);
-            let score = left + near * near_copy - busy * ARRIVAL_TOKENS - paused;
+            let near_factor = f64::from(u8::from(data_centre == Some(ledger.info.data_centre)));
+            let inbound_copies = arriving.iter().filter(|other| **other == id).count() as f64;
+            let pause_cost = pauses.pause_tokens(ledger, &pausing);
+            let score = free + near_factor * near_bonus
+                - inbound_copies * INBOUND_COPY_COST_TOKENS
+                - pause_cost;
             if best.is_none_or(|(other, _)| score > other) {
                 best = Some((score, id));
             }
         }
         let (_, target) = best?;
         self.engines.remove_stream(current, key, now_ms);
-        if let Some(ledger) = self.engines.add_stream(target, key, &more, now_ms) {
+        if let Some(ledger) = self.engines.add_stream(target, key, &forecast, now_ms) {
             ledger.placed(now_ms);
             if generated_tokens == 0 {
                 ledger.reading.sent(key, prompt_tokens, now_ms);
@@ -115,7 +120,7 @@
         Some(target)
     }
 
-    /// What a generation holds, and whether it goes before others; none where its permit is not known.
+    /// Memory used by a generation, in tokens; `None` if its permit is unknown.
     pub fn held_tokens(&self, permit: PermitId) -> Option<u32> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         Some(stream.prompt_tokens + stream.generated_tokens)
--- a/components/policy/src/placement/relocate_tests.rs
+++ b/components/policy/src/placement/relocate_tests.rs
@@ -12,8 +12,8 @@
     serial: 1,
 };
 
-/// A generation on an engine, and what its prompt holds there.
-fn running(serial: u64, target: TargetId, prompt_tokens: u32) -> Adopted {
+/// A running generation with a prompt of the given length.
+fn running_stream(serial: u64, target: TargetId, prompt_tokens: u32) -> Adopted {
     let demand = Demand {
         permit: PermitId { serial, ..PERMIT },
         share: Share {
@@ -44,26 +44,26 @@
     }
 }
 
-/// A generation on an engine that leaves, one like it near, and one in another data centre.
+/// One engine to leave with a running generation, one in the same data centre and one in another.
 fn pool() -> Pool {
     let mut pool = Pool::new(PoolSettings::default());
-    let engine = |id, place| EngineInfo {
+    let engine = |id, data_centre| EngineInfo {
         id,
         capacity_tokens: 30_000,
-        data_centre: DataCentreId(place),
+        data_centre: DataCentreId(data_centre),
         cold_rate_per_s: None,
     };
     pool.set_engines(&[engine(FROM, 0), engine(NEAR, 0), engine(FAR, 1)]);
-    pool.adopt(running(PERMIT.serial, FROM, 3_000), 0);
+    pool.adopt(running_stream(PERMIT.serial, FROM, 3_000), 0);
     pool
 }
 
-/// Where the generation goes on.
-fn relocated(avoid: &[TargetId], arriving: &[TargetId]) -> Option<TargetId> {
-    relocated_in(&mut pool(), avoid, arriving, false)
+/// The engine chosen for the generation.
+fn relocate(avoid: &[TargetId], arriving: &[TargetId]) -> Option<TargetId> {
+    relocate_in(&mut pool(), avoid, arriving, false)
 }
 
-fn relocated_in(
+fn relocate_in(
     pool: &mut Pool,
     avoid: &[TargetId],
     arriving: &[TargetId],
@@ -80,23 +80,23 @@
 }
 
 #[test]
-fn a_generation_goes_on_at_an_engine_near_the_one_that_it_leaves() {
-    assert_eq!(relocated(&[], &[]), Some(NEAR));
+fn a_generation_moves_within_its_data_centre() {
+    assert_eq!(relocate(&[], &[]), Some(NEAR));
 }
 
 #[test]
-fn two_copies_arrive_at_one_engine_only_where_no_other_has_room() {
-    assert_eq!(relocated(&[], &[NEAR]), Some(FAR));
-    assert_eq!(relocated(&[FAR], &[NEAR]), Some(NEAR));
+fn an_engine_receives_two_copies_only_if_no_other_has_room() {
+    assert_eq!(relocate(&[], &[NEAR]), Some(FAR));
+    assert_eq!(relocate(&[FAR], &[NEAR]), Some(NEAR));
 }
 
 #[test]
-fn a_generation_that_may_stay_goes_only_where_there_is_ample_room() {
-    assert_eq!(relocated_in(&mut pool(), &[], &[], true), Some(NEAR));
+fn an_optional_move_needs_ample_free_memory() {
+    assert_eq!(relocate_in(&mut pool(), &[], &[], true), Some(NEAR));
     let mut crowded = pool();
     for (serial, target) in [(2, NEAR), (3, FAR)] {
-        crowded.adopt(running(serial, target, 14_000), 0);
+        crowded.adopt(running_stream(serial, target, 14_000), 0);
     }
-    assert_eq!(relocated_in(&mut crowded, &[], &[], true), None);
-    assert_eq!(relocated_in(&mut crowded, &[], &[], false), Some(NEAR));
+    assert_eq!(relocate_in(&mut crowded, &[], &[], true), None);
+    assert_eq!(relocate_in(&mut crowded, &[], &[], false), Some(NEAR));
 }
--- a/components/policy/src/placement/rendezvous.rs
+++ b/components/policy/src/placement/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every box that sees the same members picks the
-//! same one for a role, and a member that goes moves only its own roles.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): all boxes that see the same members choose
+//! the same one for a role, and removing a member moves only its own roles.
 
 use prelude::BoxId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -8,14 +8,14 @@
     xxh3_64_with_seed(&member.0.to_le_bytes(), role)
 }
 
-/// The member that holds `role`; none where there are no members.
+/// The member that owns `role`; `None` without members.
 pub fn winner(role: u64, members: impl IntoIterator<Item = BoxId>) -> Option<BoxId> {
     members
         .into_iter()
         .max_by_key(|member| (score(role, *member), *member))
 }
 
-/// All members in the order in which they would hold `role`.
+/// All members in the order in which they would own `role`.
 pub fn ranked(role: u64, members: impl IntoIterator<Item = BoxId>) -> Vec<BoxId> {
     let mut members: Vec<BoxId> = members.into_iter().collect();
     members.sort_by_key(|member| std::cmp::Reverse((score(role, *member), *member)));
--- a/components/policy/src/placement/rendezvous_tests.rs
+++ b/components/policy/src/placement/rendezvous_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn moves_only_the_roles_of_the_box_that_went() {
+fn removing_a_box_moves_only_its_own_roles() {
     let all: Vec<BoxId> = (1..=8).map(BoxId).collect();
     let fewer: Vec<BoxId> = all.iter().copied().filter(|id| id.0 != 3).collect();
     for role in 0..200 {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn ranks_the_winner_first() {
+fn the_owner_is_first_in_the_order() {
     let all: Vec<BoxId> = (1..=8).map(BoxId).collect();
     assert_eq!(ranked(7, all.clone()).first().copied(), winner(7, all));
 }
--- a/components/policy/src/placement/view.rs
+++ b/components/policy/src/placement/view.rs
@@ -1,50 +1,50 @@
-//! A pool as operators see it.
+//! The state of a pool as shown to operators.
 
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::{GRANT_WINDOW_MS, Pool};
 use prelude::TargetId;
 use serde::{Deserialize, Serialize};
 
-/// One engine as operators see it.
+/// The state of one engine as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineView {
     /// The engine.
     pub target: TargetId,
     /// Whether it takes new work.
     pub takes_work: bool,
-    /// Its memory.
+    /// Memory capacity in tokens.
     pub capacity_tokens: u64,
-    /// Streams with a permit.
+    /// Number of streams with a permit.
     pub streams: u32,
-    /// Memory that those hold.
+    /// Estimated memory used by those streams, in tokens.
     pub ledger_tokens: u64,
-    /// Memory in use by its own report.
+    /// Memory in use according to the engine's report, in tokens.
     pub reported_tokens: u64,
-    /// Memory taken by load from elsewhere.
+    /// Estimated memory used by load from elsewhere, in tokens.
     pub foreign_tokens: u64,
-    /// Requests that wait at the engine by its report.
+    /// Requests waiting at the engine according to its report.
     pub reported_waiting: u32,
-    /// Requests that run at the engine by its report.
+    /// Requests running on the engine according to its report.
     pub reported_running: u32,
-    /// Preemptions seen by this dispatcher.
+    /// Preemptions reported to this dispatcher.
     pub preemptions: u64,
 }
 
-/// A pool as operators see it.
+/// The state of a pool as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolView {
-    /// Requests that wait for a permit.
+    /// Number of requests waiting for a permit.
     pub waiting: u32,
-    /// The margin in standard deviations.
+    /// Safety margin in standard deviations.
     pub margin: f64,
-    /// Permits granted a second.
+    /// Permits granted per second.
     pub grants_per_s: f64,
     /// Its engines.
     pub engines: Vec<EngineView>,
 }
 
 impl Pool {
-    /// The pool as operators see it.
+    /// Returns the state of the pool as shown to operators.
     pub fn view(&self, now_ms: u64) -> PoolView {
         let engines = self
             .engines
--- a/components/policy/src/placement/warmup_tests.rs
+++ b/components/policy/src/placement/warmup_tests.rs
@@ -1,15 +1,16 @@
 use super::*;
 use rstest::rstest;
 
-/// Requests that all boxes together send a cold target in its first seconds, where each sends what it may.
+/// Requests that all boxes together send a cold target in each second, if each sends as soon as it
+/// may.
 fn sent(boxes: usize, rate_per_s: f64, seconds: u64) -> Vec<usize> {
-    let draw = |at: usize| (at as f64 + 0.5) / boxes as f64;
-    let mut parts: Vec<Warmup> = (0..boxes).map(|at| Warmup::new(draw(at), 0)).collect();
+    let jitter = |at: usize| (at as f64 + 0.5) / boxes as f64;
+    let mut warmups: Vec<Warmup> = (0..boxes).map(|at| Warmup::new(jitter(at), 0)).collect();
     let mut each_second = vec![0; seconds as usize];
     for now_ms in (0..seconds * 1000).step_by(5) {
-        for part in &mut parts {
-            if part.allows(rate_per_s, boxes, now_ms) {
-                part.sent(now_ms);
+        for warmup in &mut warmups {
+            if warmup.allows(rate_per_s, boxes, now_ms) {
+                warmup.sent(now_ms);
                 each_second[(now_ms / 1000) as usize] += 1;
             }
         }
@@ -22,7 +23,7 @@
 #[case(8)]
 #[case(62)]
 #[case(195)]
-fn all_boxes_together_stay_within_what_a_cold_target_bears(#[case] boxes: usize) {
+fn all_boxes_together_stay_within_the_cold_rate(#[case] boxes: usize) {
     let each_second = sent(boxes, 25.0, 6);
     assert!(
         each_second.iter().all(|count| *count <= 25),
@@ -33,8 +34,8 @@
 }
 
 #[test]
-fn a_box_that_waited_for_long_sends_no_burst() {
-    let mut part = Warmup::new(0.0, 0);
-    part.sent(60_000);
-    assert!(!part.allows(25.0, 1, 60_001));
+fn an_idle_box_sends_no_burst() {
+    let mut warmup = Warmup::new(0.0, 0);
+    warmup.sent(60_000);
+    assert!(!warmup.allows(25.0, 1, 60_001));
 }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -1,6 +1,6 @@
-//! The dispatcher of one pool: who goes first, where, and who must be refused. It is soft state. When
-//! it is wrong, or when two boxes each believe that they dispatch, an engine preempts; nothing is lost
-//! or doubled.
+//! The dispatcher of one pool: it orders queued requests, places them on engines and refuses those
+//! that cannot be served in time. Its state is soft: if it is wrong, or if two boxes both dispatch,
+//! an engine preempts requests, but none is lost or duplicated.
 
 use crate::admission::grant_pace::GrantPace;
 use crate::admission::outlook::{Need, Outlook};
@@ -20,21 +20,21 @@
 use prelude::{BoxId, PermitId, TargetId};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Candidates that are tried in one run when the first does not fit.
-const CANDIDATES: usize = 6;
+/// Queues that one scheduling pass tries while requests do not fit.
+const QUEUES_TRIED_MAX: usize = 6;
 /// Window over which grants are counted.
 pub(crate) const GRANT_WINDOW_MS: u64 = 5000;
-/// How often the ledgers note their memory in use, to be compared with engines' reports.
-const REMEMBER_MS: u64 = 25;
-/// Pace of a stream before any was measured, in tokens per millisecond.
-const PACE_INITIAL: f64 = 0.03;
+/// How often each ledger records its memory use, to be compared with delayed engine reports.
+const OWN_TOKENS_INTERVAL_MS: u64 = 25;
+/// Initial pace of a stream, in tokens per millisecond.
+const PACE_INITIAL_TOKENS_PER_MS: f64 = 0.03;
 
 /// The dispatcher's state for one pool.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub(crate) settings: PoolSettings,
     pub(crate) engines: EngineSet,
-    /// Engines that name a rate limit.
+    /// Engines that announce a rate limit.
     pub(crate) rate_limited: HashSet<TargetId>,
     pub(crate) streams: Streams,
     pub(crate) by_permit: HashMap<PermitId, StreamKey>,
@@ -44,30 +44,31 @@
     pub(crate) lengths: LengthModel,
     pub(crate) prefixes: PrefixIndex,
     pub(crate) margin: f64,
-    margin_ms: u64,
+    margin_decayed_ms: u64,
     pub(crate) tokens_per_ms: f64,
     pub(crate) reading_rate: ReadingRate,
     pub(crate) pace_book: PaceBook,
-    /// The latest time that it was given: it reads no clock.
+    /// The latest time passed in by callers, as the pool reads no clock.
     pub(crate) now_ms: u64,
     pub(crate) grants: VecDeque<u64>,
     pub(crate) pace: GrantPace,
-    /// The pace of grants by rank.
+    /// The grant rate of each rank.
     pub(crate) paces: [GrantPace; RANKS],
-    /// When the first request came; grants wait for engines' reports from then on, but not for ever.
+    /// When the first request arrived. Grants wait for the engines' first reports for a limited
+    /// time after it.
     pub(crate) began_ms: Option<u64>,
     pub(crate) expiry_ms: u64,
-    remembered_ms: u64,
+    own_tokens_recorded_ms: u64,
     pub(crate) heard_ms: HashMap<BoxId, u64>,
-    /// Streams of each box that hold a permit.
+    /// Number of streams with a permit, by box.
     pub(crate) streams_by_box: HashMap<BoxId, usize>,
-    /// The boxes whose recent use it charged itself, and since when.
+    /// The boxes whose recent usage this dispatcher charged itself, and since when.
     pub(crate) known: KnownBoxes,
     pub(crate) usage: Usage,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             margin: settings.margin_initial,
@@ -76,12 +77,12 @@
             streams: Streams::with_key(),
             by_permit: HashMap::new(),
             queue: Queue::default(),
-            tree: fair_tree(&settings),
+            tree: new_fair_tree(&settings),
             outlook: Outlook::default(),
             lengths: LengthModel::default(),
             prefixes: PrefixIndex::default(),
-            margin_ms: 0,
-            tokens_per_ms: PACE_INITIAL,
+            margin_decayed_ms: 0,
+            tokens_per_ms: PACE_INITIAL_TOKENS_PER_MS,
             reading_rate: ReadingRate::default(),
             pace_book: PaceBook::default(),
             now_ms: 0,
@@ -90,7 +91,7 @@
             paces: [GrantPace::default(); RANKS],
             began_ms: None,
             expiry_ms: 0,
-            remembered_ms: 0,
+            own_tokens_recorded_ms: 0,
             heard_ms: HashMap::new(),
             streams_by_box: HashMap::new(),
             known: KnownBoxes::default(),
@@ -99,18 +100,19 @@
         }
     }
 
-    /// Takes a request in, or refuses it at once where its wait would pass its deadline.
+    /// Queues a request, or refuses it if it would wait beyond its deadline.
     pub fn submit(&mut self, demand: Demand, now_ms: u64) -> Submitted {
-        self.take_in(demand, false, now_ms)
+        self.enqueue(demand, false, now_ms)
     }
 
-    /// Takes a request in that was let wait before, by another dispatcher or until its permit found nobody: it is not judged
-    /// anew by one that knows less of lengths and pace. It waits until it is granted, or until its time is over.
+    /// Queues a request that was queued before, at another dispatcher or until its grant did not
+    /// reach its box. It is not refused now, as this dispatcher may know less about answer lengths
+    /// and the grant rate: it waits until it is granted or expires.
     pub fn submit_again(&mut self, demand: Demand, now_ms: u64) -> Submitted {
-        self.take_in(demand, true, now_ms)
+        self.enqueue(demand, true, now_ms)
     }
 
-    fn take_in(&mut self, mut demand: Demand, was_let_wait: bool, now_ms: u64) -> Submitted {
+    fn enqueue(&mut self, mut demand: Demand, was_queued_before: bool, now_ms: u64) -> Submitted {
         self.now_ms = self.now_ms.max(now_ms);
         self.heard_ms.insert(demand.permit.entry, now_ms);
         self.known.heard(demand.permit.entry, now_ms);
@@ -125,7 +127,7 @@
         let forecast = demand_forecast(&self.lengths, &demand, self.settings.policy);
         let need = Need::of(&forecast);
         let refusal = self.refusal(&demand, &need, now_ms);
-        if let Some(refusal) = refusal.filter(|_| !was_let_wait) {
+        if let Some(refusal) = refusal.filter(|_| !was_queued_before) {
             if !self.tree.floods(&demand.share) {
                 self.tree.others_wait(now_ms);
             }
@@ -133,15 +135,16 @@
             return Submitted::Refused(refusal);
         }
         let place = self.queue.len() as u32;
-        // Before it counts as waiting: the time before it came says nothing of the pace.
-        self.pass(now_ms);
+        // Records the time before this arrival first: without a queue it says nothing about the
+        // grant rate.
+        self.record_queued_ranks(now_ms);
         self.tree.waits(&demand.share);
         let begins_by_ms = self.waits_until_ms(&demand);
         self.queue.push(demand, begins_by_ms, need);
         Submitted::Waits { place }
     }
 
-    /// Takes back a request that waits, or releases its permit where it was granted meanwhile.
+    /// Removes a queued request, or releases its permit if it was granted meanwhile.
     pub fn withdraw(&mut self, permit: PermitId) {
         if let Some(demand) = self.queue.remove(permit) {
             self.outlook.errors.left(permit);
@@ -151,42 +154,43 @@
         }
     }
 
-    /// Grants what fits and refuses what waited too long.
+    /// Grants the requests that fit and refuses those that waited too long.
     pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         self.now_ms = self.now_ms.max(now_ms);
         self.tree.pass(now_ms);
         self.pace.pass(self.queue.len() > 0, now_ms);
-        self.pass(now_ms);
+        self.record_queued_ranks(now_ms);
         let mut verdicts = self.expire(now_ms);
-        self.keep_past(now_ms);
+        self.record_own_tokens(now_ms);
         self.decay_margin(now_ms);
         if self.queue.others_wait(&self.tree, now_ms) {
             self.tree.others_wait(now_ms);
         }
-        let mut passed = HashSet::new();
-        let mut waits = None;
+        let mut skipped = HashSet::new();
+        let mut blocked = None;
         let mut reserved = Vec::new();
-        while passed.len() < CANDIDATES {
-            let Some(place) = self.queue.next(&self.tree, &passed, now_ms) else {
+        while skipped.len() < QUEUES_TRIED_MAX {
+            let Some(queue_key) = self.queue.next(&self.tree, &skipped, now_ms) else {
                 break;
             };
-            let gives_way = self.settings.protection && self.queue.gives_way(place, waits, now_ms);
-            if gives_way || !self.leaves_reading(place, now_ms) {
-                // Accounts that flood come last, so that all that follow flood as well.
-                if self.outweighs_others(place) {
+            let yields =
+                self.settings.protection && self.queue.gives_way(queue_key, blocked, now_ms);
+            if yields || !self.leaves_reading(queue_key, now_ms) {
+                // Accounts that flood sort last, so all remaining queues belong to them as well.
+                if self.outweighs_others(queue_key) {
                     break;
                 }
-                passed.insert(place);
+                skipped.insert(queue_key);
                 continue;
             }
-            let choice = self.choose(place, now_ms, &reserved);
-            let Some(target) = choice.fits else {
-                self.reserve(place, &choice.nearest, &mut reserved, now_ms);
-                waits.get_or_insert(place);
-                passed.insert(place);
+            let choice = self.choose(queue_key, now_ms, &reserved);
+            let Some(target) = choice.best_engine else {
+                self.reserve(queue_key, &choice.nearest, &mut reserved, now_ms);
+                blocked.get_or_insert(queue_key);
+                skipped.insert(queue_key);
                 continue;
             };
-            let Some(demand) = self.queue.pop(place, now_ms) else {
+            let Some(demand) = self.queue.pop(queue_key, now_ms) else {
                 break;
             };
             verdicts.push((demand.permit, Verdict::Granted { target }));
@@ -195,8 +199,8 @@
         verdicts
     }
 
-    /// Notes whether requests of each rank wait.
-    fn pass(&mut self, now_ms: u64) {
+    /// Records for each rank whether requests are queued.
+    fn record_queued_ranks(&mut self, now_ms: u64) {
         let waits = self.queue.ranks();
         for (pace, waits) in self.paces.iter_mut().zip(waits) {
             pace.pass(waits, now_ms);
@@ -207,9 +211,9 @@
         self.engines.get_mut(target)
     }
 
-    /// How many engines were looked at since the pool began, each time counted: what decisions cost grows with it.
+    /// Number of engine lookups since the pool was created, a measure of the cost of its decisions.
     pub fn engines_looked_at(&self) -> u64 {
-        self.engines.looks()
+        self.engines.checks()
     }
 
     pub(crate) fn margin_in_use(&self) -> f64 {
@@ -233,8 +237,8 @@
         self.tree.runs(&demand.share);
         self.tree.leaves(&demand.share);
         self.usage.granted(&demand);
-        let read_ms = f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms();
-        self.tree.charge(&demand.share, read_ms);
+        let prefill_ms = f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms();
+        self.tree.charge(&demand.share, prefill_ms);
         if let Some((prefix, _)) = demand.prefix {
             self.prefixes.note(target, prefix, now_ms);
         }
@@ -261,15 +265,15 @@
             generated_tokens,
             progress_ms: now_ms,
             max_tokens: demand.max_tokens,
-            told_tokens: told(&demand, self.settings.policy),
+            told_tokens: oracle_tokens(&demand, self.settings.policy),
             pause_goal_ms: demand.pause_goal_ms,
             longest_ms: 0,
             expected_tokens: self.expected_tokens(&demand) as f32,
             foretold_ms: self.foretold_ms(&demand, target, now_ms),
         };
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
-        let held_tokens = f64::from(prompt_tokens + generated_tokens);
-        self.tree.holds(&stream.share, held_tokens);
+        let used_tokens = f64::from(prompt_tokens + generated_tokens);
+        self.tree.holds(&stream.share, used_tokens);
         self.outlook.room.placed(&forecast);
         *self.streams_by_box.entry(permit.entry).or_default() += 1;
         let key = self.streams.insert(stream);
@@ -281,35 +285,35 @@
         }
     }
 
-    fn keep_past(&mut self, now_ms: u64) {
-        if now_ms < self.remembered_ms + REMEMBER_MS {
+    fn record_own_tokens(&mut self, now_ms: u64) {
+        if now_ms < self.own_tokens_recorded_ms + OWN_TOKENS_INTERVAL_MS {
             return;
         }
-        self.remembered_ms = now_ms;
-        // An engine that runs nothing has noted that it holds nothing.
+        self.own_tokens_recorded_ms = now_ms;
+        // Idle engines have already recorded that they use no memory.
         for slot in self.engines.busy() {
-            if let Some(ledger) = self.engines.at_mut(slot) {
-                let own = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
-                ledger.remember(own, now_ms);
+            if let Some(ledger) = self.engines.slot_mut(slot) {
+                let own_tokens = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
+                ledger.remember(own_tokens, now_ms);
             }
         }
     }
 
     fn decay_margin(&mut self, now_ms: u64) {
-        let elapsed_s = now_ms.saturating_sub(self.margin_ms) as f64 / 1000.0;
-        self.margin_ms = now_ms;
-        let less = self.settings.margin_decay_per_s * elapsed_s;
-        self.margin = (self.margin - less).max(self.settings.margin_min);
+        let elapsed_s = now_ms.saturating_sub(self.margin_decayed_ms) as f64 / 1000.0;
+        self.margin_decayed_ms = now_ms;
+        let decrease = self.settings.margin_decay_per_s * elapsed_s;
+        self.margin = (self.margin - decrease).max(self.settings.margin_min);
     }
 }
 
-fn fair_tree(settings: &PoolSettings) -> FairTree {
+fn new_fair_tree(settings: &PoolSettings) -> FairTree {
     let mut tree = FairTree::default();
     tree.set_orders(settings.fair);
     tree
 }
 
-fn told(demand: &Demand, policy: PolicyKind) -> Option<u32> {
+fn oracle_tokens(demand: &Demand, policy: PolicyKind) -> Option<u32> {
     demand.told_tokens.filter(|_| policy == PolicyKind::Oracle)
 }
 
@@ -318,14 +322,14 @@
     demand: &Demand,
     policy: PolicyKind,
 ) -> Forecast {
-    let told = told(demand, policy);
+    let oracle_tokens = oracle_tokens(demand, policy);
     let mut forecast = Forecast::default();
     forecast.add(f64::from(demand.prompt_tokens), |more| {
         if more >= f64::from(demand.max_tokens) {
             return 0.0;
         }
-        match told {
-            Some(told) => f64::from(u8::from(more < f64::from(told))),
+        match oracle_tokens {
+            Some(oracle_tokens) => f64::from(u8::from(more < f64::from(oracle_tokens))),
             None => lengths.survival(demand.class, 0.0, more),
         }
     });
--- a/components/policy/src/pool_size_tests.rs
+++ b/components/policy/src/pool_size_tests.rs
@@ -5,16 +5,16 @@
 use prelude::DataCentreId;
 use rstest::rstest;
 
-/// A request comes each so many milliseconds, and ends after [`LASTS_MS`]: some 300 run at a time.
-const COMES_EACH_MS: u64 = 10;
-const LASTS_MS: u64 = 3_000;
-const PLACES: u64 = 5;
+/// A request arrives at this interval and ends after [`DURATION_MS`], so about 300 run at a time.
+const ARRIVAL_INTERVAL_MS: u64 = 10;
+const DURATION_MS: u64 = 3_000;
+const DATA_CENTRES: u64 = 5;
 
 fn info(id: u64) -> EngineInfo {
     EngineInfo {
         id: TargetId(id),
         capacity_tokens: 33_620,
-        data_centre: DataCentreId(id % PLACES),
+        data_centre: DataCentreId(id % DATA_CENTRES),
         cold_rate_per_s: None,
     }
 }
@@ -30,9 +30,9 @@
 }
 
 fn demand(serial: u64) -> Demand {
-    let now_ms = serial * COMES_EACH_MS;
+    let now_ms = serial * ARRIVAL_INTERVAL_MS;
     Demand {
-        near: Some(DataCentreId(serial % PLACES)),
+        near: Some(DataCentreId(serial % DATA_CENTRES)),
         since_ms: now_ms,
         deadline_ms: now_ms + 1_500,
         leaves_ms: now_ms + 6_000,
@@ -40,24 +40,24 @@
     }
 }
 
-/// A request comes and is granted, one reads its prompt to the end, and an old one ends.
+/// One request arrives and is granted, one finishes its prefill, and an old one ends.
 fn step(pool: &mut Pool, serial: u64) {
-    let now_ms = serial * COMES_EACH_MS;
+    let now_ms = serial * ARRIVAL_INTERVAL_MS;
     assert_eq!(
         pool.submit(demand(serial), now_ms),
         Submitted::Waits { place: 0 }
     );
     assert_eq!(pool.run(now_ms).len(), 1);
-    if let Some(read) = serial.checked_sub(20) {
-        pool.progress(demand(read).permit, 1, now_ms);
+    if let Some(prefilled) = serial.checked_sub(20) {
+        pool.progress(demand(prefilled).permit, 1, now_ms);
     }
-    if let Some(ended) = serial.checked_sub(LASTS_MS / COMES_EACH_MS) {
+    if let Some(ended) = serial.checked_sub(DURATION_MS / ARRIVAL_INTERVAL_MS) {
         pool.release(demand(ended).permit, 300, End::Finished);
     }
 }
 
-/// Engines looked at for one request, in a pool of so many with some 300 streams.
-fn looks_a_request(engines: u64) -> u64 {
+/// Engines checked per request, in a pool of this size with about 300 streams.
+fn checks_per_request(engines: u64) -> u64 {
     let mut pool = pool(engines);
     (0..600).for_each(|serial| step(&mut pool, serial));
     let before = pool.engines_looked_at();
@@ -68,34 +68,34 @@
 #[rstest]
 #[case::engines_1_000(1_000)]
 #[case::engines_10_000(10_000)]
-fn a_decision_looks_at_no_more_engines_than_in_a_pool_of_100(#[case] engines: u64) {
-    let (few, many) = (looks_a_request(100), looks_a_request(engines));
-    assert!(many <= 2 * few, "{many} of {engines}, {few} of 100");
+fn a_decision_checks_at_most_twice_as_many_engines_as_in_a_pool_of_100(#[case] engines: u64) {
+    let (small, large) = (checks_per_request(100), checks_per_request(engines));
+    assert!(large <= 2 * small, "{large} of {engines}, {small} of 100");
 }
 
 #[rstest]
 #[case::engines_1_000(1_000)]
 #[case::engines_10_000(10_000)]
-fn a_list_of_engines_is_taken_in_with_one_look_at_each(#[case] engines: u64) {
+fn updating_the_engine_list_checks_each_engine_a_few_times(#[case] engines: u64) {
     let mut pool = pool(engines);
     let before = pool.engines_looked_at();
     pool.set_engines(&(0..engines).map(info).collect::<Vec<_>>());
-    let looks = pool.engines_looked_at() - before;
-    assert!(looks <= 4 * engines, "{looks}");
+    let checks = pool.engines_looked_at() - before;
+    assert!(checks <= 4 * engines, "{checks}");
 }
 
 #[test]
-fn news_of_one_engine_looks_at_that_engine() {
+fn changing_one_engine_checks_no_others() {
     let mut pool = pool(10_000);
     let before = pool.engines_looked_at();
     pool.set_state(TargetId(9_000), EngineState::Leaving);
     pool.set_state(TargetId(9_000), EngineState::Live);
-    let looks = pool.engines_looked_at() - before;
-    assert!(looks <= 8, "{looks}");
+    let checks = pool.engines_looked_at() - before;
+    assert!(checks <= 8, "{checks}");
 }
 
 #[test]
-fn a_move_of_a_generation_looks_at_no_more_engines_than_a_decision() {
+fn relocating_a_generation_checks_a_bounded_number_of_engines() {
     let mut pool = pool(10_000);
     step(&mut pool, 0);
     let from = pool.target_of(demand(0).permit).unwrap();
@@ -109,6 +109,6 @@
     };
     let to = pool.relocate(&relocation, 50).unwrap();
     assert_ne!(to, from);
-    let looks = pool.engines_looked_at() - before;
-    assert!(looks <= 200, "{looks}");
+    let checks = pool.engines_looked_at() - before;
+    assert!(checks <= 200, "{checks}");
 }
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::demand::Adopted;
 use crate::fairness::tree::Share;
-use crate::holders::SILENT_BOX_MS;
+use crate::holders::BOX_TIMEOUT_MS;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState};
 use crate::placement::length::LengthClass;
 use prelude::{
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn spreads_over_engines_by_room() {
+fn spreads_requests_over_engines_by_free_memory() {
     let mut pool = pool(&[(ENGINE, 10_000), (OTHER_ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 1000), 0);
     pool.submit(demand(2, 1, 1000), 0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn waits_where_memory_would_fill() {
+fn queues_a_request_that_does_not_fit_in_memory() {
     let mut pool = pool(&[(ENGINE, 2000)]);
     for serial in 1..=3 {
         pool.submit(demand(serial, 1, 1000), 0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn keeps_one_engine_for_a_large_request_and_lets_small_ones_use_the_others() {
+fn reserves_one_engine_for_a_large_request_while_small_ones_use_the_others() {
     let mut pool = pool(&[(ENGINE, 2000), (OTHER_ENGINE, 2000)]);
     let patient = |serial, prompt| Demand {
         deadline_ms: u64::MAX,
@@ -111,23 +111,23 @@
     let small = granted(&pool.run(late_ms));
     assert_eq!(small.len(), 2);
     assert_eq!(small[0].1, small[1].1);
-    let kept = if small[0].1 == ENGINE {
+    let reserved = if small[0].1 == ENGINE {
         OTHER_ENGINE
     } else {
         ENGINE
     };
-    let on_kept: Vec<PermitId> = [1, 2]
+    let on_reserved: Vec<PermitId> = [1, 2]
         .map(permit)
         .into_iter()
-        .filter(|id| pool.streams[pool.by_permit[id]].target == kept)
+        .filter(|id| pool.streams[pool.by_permit[id]].target == reserved)
         .collect();
-    assert_eq!(on_kept.len(), 1);
-    pool.release(on_kept[0], 10, End::Finished);
-    assert_eq!(granted(&pool.run(late_ms + 1)), [(3, kept)]);
+    assert_eq!(on_reserved.len(), 1);
+    pool.release(on_reserved[0], 10, End::Finished);
+    assert_eq!(granted(&pool.run(late_ms + 1)), [(3, reserved)]);
 }
 
 #[test]
-fn waits_for_the_first_report_of_an_engine() {
+fn grants_nothing_before_the_first_report_of_an_engine() {
     let mut pool = Pool::new(PoolSettings::default());
     let info = EngineInfo {
         id: ENGINE,
@@ -152,9 +152,9 @@
 }
 
 #[test]
-fn refuses_when_the_deadline_passes() {
+fn refuses_a_queued_request_when_its_deadline_passes() {
     let mut pool = pool(&[(ENGINE, 1500)]);
-    // It should end soon, and does not.
+    // The forecast expects this stream to end soon, but it does not.
     let short = Demand {
         max_tokens: 10,
         ..demand(1, 1, 1000)
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn refuses_at_once_what_would_wait_too_long() {
+fn refuses_immediately_when_the_expected_wait_exceeds_the_deadline() {
     let mut pool = pool(&[(ENGINE, 1500)]);
     let mut refused = 0;
     for serial in 0..100 {
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn keeps_room_for_load_it_did_not_place() {
+fn leaves_memory_for_load_from_elsewhere() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     let report = EngineReport {
         memory_share: 0.95,
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn widens_its_margin_on_preemptions() {
+fn widens_the_margin_on_preemptions() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     let report = |preemptions| EngineReport {
         preemptions,
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn tells_when_a_permit_is_not_known() {
+fn progress_of_an_unknown_permit_is_rejected_until_the_stream_is_adopted() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     assert!(!pool.progress(permit(1), 5, 0));
     let adopted = Adopted {
@@ -258,16 +258,16 @@
 }
 
 #[test]
-fn drops_the_permits_of_a_silent_box() {
+fn releases_the_permits_of_a_silent_box() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 100), 0);
     pool.run(0);
-    pool.forget_silent(SILENT_BOX_MS + 1);
+    pool.forget_silent(BOX_TIMEOUT_MS + 1);
     assert_eq!(pool.view(0).engines[0].streams, 0);
 }
 
 #[test]
-fn serves_owners_alike_where_one_is_greedy() {
+fn serves_owners_equally_when_one_submits_twice_as_many_requests() {
     let mut pool = pool(&[(ENGINE, 2500)]);
     let mut serial = 0;
     let mut served: HashMap<OwnerId, u32> = HashMap::new();
@@ -290,20 +290,20 @@
             pool.release(permit, 100, End::Finished);
         }
     }
-    let (greedy, modest) = (served[&OwnerId(1)], served[&OwnerId(2)]);
-    assert!(greedy.abs_diff(modest) <= 2, "{greedy} {modest}");
+    let (heavy, light) = (served[&OwnerId(1)], served[&OwnerId(2)]);
+    assert!(heavy.abs_diff(light) <= 2, "{heavy} {light}");
 }
 
 #[test]
-fn a_permit_that_its_box_has_not_heard_of_yet_keeps_its_room() {
+fn a_permit_in_flight_to_its_box_keeps_its_memory() {
     let mut pool = pool(&[(ENGINE, 2_500)]);
     pool.submit(demand(1, 1, 1_000), 0);
     pool.submit(demand(2, 1, 1_000), 0);
     assert_eq!(granted(&pool.run(0)).len(), 2);
-    // The box tells what it has open; the second permit was on its way when it did.
-    let known = HashSet::from([permit(1)]);
-    pool.keep_only(permit(1).entry, &known, 10);
+    // The box lists its open streams while the second permit is still in flight to it.
+    let reported = HashSet::from([permit(1)]);
+    pool.keep_only(permit(1).entry, &reported, 10);
     assert_eq!(pool.streams_of(permit(1).entry), 2);
-    pool.keep_only(permit(1).entry, &known, 1_000);
+    pool.keep_only(permit(1).entry, &reported, 1_000);
     assert_eq!(pool.streams_of(permit(1).entry), 1);
 }
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -1,22 +1,22 @@
-//! Streams that hold permits: how far they have come, and their ends.
+//! Streams that hold permits: their progress and their end.
 
 use crate::placement::ledger::StreamKey;
 use crate::placement::length::{End, LengthClass};
 use crate::pool::Pool;
 use prelude::{BoxId, PermitId, TargetId};
 
-/// Weight of one measured pace.
+/// Weight of one measurement in the moving average of the pace.
 const PACE_WEIGHT: f64 = 0.02;
 
 impl Pool {
-    /// Whether a generation runs that no token is known of.
+    /// Whether a stream holds this permit and has not generated a token yet.
     pub fn waits_for_first_token(&self, permit: PermitId) -> bool {
         let stream = self.by_permit.get(&permit);
         let stream = stream.and_then(|key| self.streams.get(*key));
         stream.is_some_and(|stream| stream.generated_tokens == 0)
     }
 
-    /// Notes how far a stream has come. False where its permit is not known here.
+    /// Records the progress of a stream. Returns false if its permit is unknown.
     pub fn progress(&mut self, permit: PermitId, tokens: u32, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
         self.heard_ms.insert(permit.entry, now_ms);
@@ -27,28 +27,28 @@
         let Some(stream) = self.streams.get_mut(key) else {
             return false;
         };
-        let before = stream.generated_tokens;
-        if tokens <= before {
+        let previous_tokens = stream.generated_tokens;
+        if tokens <= previous_tokens {
             return true;
         }
         let elapsed_ms = now_ms.saturating_sub(stream.progress_ms);
         stream.generated_tokens = tokens;
         stream.progress_ms = now_ms;
         let (share, class, target) = (stream.share, stream.class, stream.target);
-        if before == 0 {
+        if previous_tokens == 0 {
             self.outlook.errors.first_token(permit, now_ms);
-            self.read(key, target);
+            self.record_prefill(key, target);
         }
-        if before > 0 && elapsed_ms > 0 {
-            let pace = f64::from(tokens - before) / elapsed_ms as f64;
+        if previous_tokens > 0 && elapsed_ms > 0 {
+            let pace = f64::from(tokens - previous_tokens) / elapsed_ms as f64;
             self.tokens_per_ms += PACE_WEIGHT * (pace - self.tokens_per_ms);
         }
-        self.learn(class, before, tokens, None);
-        self.tree.holds(&share, f64::from(tokens - before));
+        self.learn(class, previous_tokens, tokens, None);
+        self.tree.holds(&share, f64::from(tokens - previous_tokens));
         true
     }
 
-    /// Ends a stream and frees what it held.
+    /// Ends a stream and frees its memory.
     pub fn release(&mut self, permit: PermitId, tokens: u32, end: End) {
         let Some(key) = self.by_permit.remove(&permit) else {
             return;
@@ -56,24 +56,24 @@
         let Some(stream) = self.streams.remove(key) else {
             return;
         };
-        self.left_box(stream.entry());
-        let before = stream.generated_tokens;
-        let tokens = tokens.max(before);
+        self.decrement_box_streams(stream.entry());
+        let previous_tokens = stream.generated_tokens;
+        let tokens = tokens.max(previous_tokens);
         let now_ms = self.now_ms;
-        if before == 0 && tokens > 0 {
+        if previous_tokens == 0 && tokens > 0 {
             self.outlook.errors.first_token(permit, now_ms);
-            self.read(key, stream.target);
+            self.record_prefill(key, stream.target);
         }
         self.outlook.errors.left(permit);
         self.engines.remove_stream(stream.target, key, now_ms);
-        self.learn(stream.class, before, tokens, Some(end));
-        let held_tokens = stream.prompt_tokens + before;
-        self.tree.holds(&stream.share, -f64::from(held_tokens));
+        self.learn(stream.class, previous_tokens, tokens, Some(end));
+        let used_tokens = stream.prompt_tokens + previous_tokens;
+        self.tree.holds(&stream.share, -f64::from(used_tokens));
         self.tree.ends(&stream.share);
     }
 
-    /// Notes that an engine has read the prompt of a stream.
-    fn read(&mut self, key: StreamKey, target: TargetId) {
+    /// Records that an engine has finished the prefill of a stream.
+    fn record_prefill(&mut self, key: StreamKey, target: TargetId) {
         let now_ms = self.now_ms;
         let mut rate = self.reading_rate;
         if let Some(ledger) = self.engine_mut(target) {
@@ -83,17 +83,23 @@
         self.reading_rate = rate;
     }
 
-    pub(crate) fn learn(&mut self, class: LengthClass, before: u32, tokens: u32, end: Option<End>) {
+    pub(crate) fn learn(
+        &mut self,
+        class: LengthClass,
+        previous_tokens: u32,
+        tokens: u32,
+        end: Option<End>,
+    ) {
         if !self.settings.learns_lengths {
             return;
         }
-        self.lengths.grew(class, before, tokens);
+        self.lengths.grew(class, previous_tokens, tokens);
         if let Some(end) = end {
             self.lengths.ended(class, tokens, end);
         }
     }
 
-    fn left_box(&mut self, entry: BoxId) {
+    fn decrement_box_streams(&mut self, entry: BoxId) {
         if let Some(count) = self.streams_by_box.get_mut(&entry) {
             *count -= 1;
             if *count == 0 {
@@ -102,13 +108,13 @@
         }
     }
 
-    /// The engine of a permit that is held.
+    /// The engine that a permit was granted for.
     pub fn target_of(&self, permit: PermitId) -> Option<TargetId> {
         let key = self.by_permit.get(&permit)?;
         self.streams.get(*key).map(|stream| stream.target)
     }
 
-    /// Streams of a box that hold a permit.
+    /// Number of streams of a box that hold a permit.
     pub fn streams_of(&self, entry: BoxId) -> usize {
         self.streams_by_box.get(&entry).copied().unwrap_or(0)
     }
