--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -3,7 +3,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    Demand, End, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
+    Demand, End, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, PrefillPolicy, Share,
     WaitingPolicy,
 };
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
@@ -97,7 +97,7 @@
         ..PoolSettings::default()
     };
     let before = PoolSettings {
-        reading: ReadingPolicy::Bound,
+        prefill: PrefillPolicy::Bound,
         waiting: WaitingPolicy::Pace,
         prefill_tokens: 7_000,
         learns_pace: false,
--- a/components/policy/src/admission/rate_tests.rs
+++ b/components/policy/src/admission/rate_tests.rs
@@ -1,9 +1,9 @@
 use crate::admission::test_demands::demand;
 use crate::demand::{Demand, Submitted, Verdict};
-use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, EngineReport};
 use crate::placement::length::End;
 use crate::pool::Pool;
+use crate::settings::PoolSettings;
 use prelude::{DataCentreId, RefusalReason, TargetId};
 
 const ENGINES: [TargetId; 2] = [TargetId(1), TargetId(2)];
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -2,8 +2,8 @@
 
 use crate::admission::outlook::Need;
 use crate::demand::{Demand, Verdict};
-use crate::kind::WaitingPolicy;
 use crate::pool::Pool;
+use crate::settings::WaitingPolicy;
 use prelude::{PermitId, Refusal, RefusalReason};
 use std::collections::HashSet;
 
--- a/components/policy/src/admission/room_ahead_tests.rs
+++ b/components/policy/src/admission/room_ahead_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, Streams};
 use crate::placement::length::LengthModel;
+use crate::settings::PoolSettings;
 use prelude::{DataCentreId, TargetId};
 
 /// So much is free at first, and so much more at each point.
--- a/components/policy/src/admission/waiting_tests.rs
+++ b/components/policy/src/admission/waiting_tests.rs
@@ -11,7 +11,7 @@
 fn pool() -> Pool {
     let mut pool = Pool::new(PoolSettings {
         first_report_ms: 0,
-        reading_ahead_ms: 100,
+        prefill_ahead_ms: 100,
         memory_ahead: true,
         ..PoolSettings::default()
     });
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -1,9 +1,9 @@
 //! Updates to a pool: its settings, its engines and their state, load reports and cache events.
 
-use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState, StreamKey};
 use crate::placement::length::End;
 use crate::pool::Pool;
+use crate::settings::PoolSettings;
 use prelude::{AccountId, TargetId};
 use std::collections::{HashMap, HashSet};
 
--- a/components/policy/src/fairness/told_tests.rs
+++ b/components/policy/src/fairness/told_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::demand::{Adopted, Demand};
-use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, EngineReport};
 use crate::placement::length::{End, LengthClass};
+use crate::settings::PoolSettings;
 use crate::{Submitted, Verdict};
 use prelude::{AccountId, Avoided, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 use rstest::rstest;
--- a/components/policy/src/pace/felt.rs
+++ b/components/policy/src/pace/felt.rs
@@ -2,7 +2,6 @@
 //! its prompt makes beside. Both count as time of reading, and with it as memory.
 
 use crate::demand::Demand;
-use crate::kind::PoolSettings;
 use crate::pace::book::PaceBook;
 use crate::pace::chance::Feel;
 use crate::pace::steps::Load;
@@ -11,6 +10,7 @@
 use crate::placement::length::LengthModel;
 use crate::placement::reading::ReadingRate;
 use crate::pool::Pool;
+use crate::settings::PoolSettings;
 use prelude::TargetId;
 
 /// Time over which the share that an engine spends on reading is taken.
@@ -97,7 +97,8 @@
             return 0.0;
         }
         let settings = self.settings;
-        let each = f64::from(settings.long_pause_ms) * f64::from(settings.reading_tokens_per_ms);
+        let each =
+            f64::from(settings.long_pause_ms) * f64::from(settings.prefill_cost_tokens_per_ms);
         self.long_pauses(ledger, new) * each
     }
 }
--- a/components/policy/src/pace/felt_tests.rs
+++ b/components/policy/src/pace/felt_tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::demand::{Adopted, Submitted, Verdict};
 use crate::fairness::tree::Share;
-use crate::kind::PoolSettings;
 use crate::pace::observed::{GapsTold, Observed};
 use crate::placement::ledger::EngineInfo;
 use crate::placement::length::LengthClass;
+use crate::settings::PoolSettings;
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId};
 
 const SLOW: TargetId = TargetId(1);
--- a/components/policy/src/pace/shown_tests.rs
+++ b/components/policy/src/pace/shown_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::kind::PoolSettings;
 use crate::placement::ledger::EngineInfo;
+use crate::settings::PoolSettings;
 use prelude::DataCentreId;
 
 const ENGINE: TargetId = TargetId(1);
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -2,11 +2,11 @@
 
 use crate::admission::queue::Place;
 use crate::demand::Demand;
-use crate::kind::ReadingPolicy;
 use crate::pace::felt::{PauseView, Pausing, expected_tokens};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
 use crate::placement::reading::ReadingRate;
 use crate::pool::{Pool, demand_forecast};
+use crate::settings::PrefillPolicy;
 use prelude::TargetId;
 
 /// Possible engines for a request.
@@ -142,24 +142,24 @@
     if reading.is_idle() {
         return true;
     }
-    match settings.reading {
-        ReadingPolicy::Bound => {
+    match settings.prefill {
+        PrefillPolicy::Bound => {
             let total = reading.tokens() + u64::from(demand.prompt_tokens);
             total <= u64::from(settings.prefill_tokens)
         }
-        ReadingPolicy::FirstToken => {
-            reading.left_ms(rate, view.now_ms) <= f64::from(settings.reading_ahead_ms)
+        PrefillPolicy::FirstToken => {
+            reading.left_ms(rate, view.now_ms) <= f64::from(settings.prefill_ahead_ms)
         }
     }
 }
 
 /// Cost of an engine's pending prefill, in tokens of memory.
 fn prefill_cost_tokens(ledger: &EngineLedger, rate: &ReadingRate, view: &RoomView<'_>) -> f64 {
-    match view.settings.reading {
-        ReadingPolicy::Bound => 0.0,
-        ReadingPolicy::FirstToken => {
+    match view.settings.prefill {
+        PrefillPolicy::Bound => 0.0,
+        PrefillPolicy::FirstToken => {
             let remaining_ms = ledger.reading.left_ms(rate, view.now_ms);
-            remaining_ms * f64::from(view.settings.reading_tokens_per_ms)
+            remaining_ms * f64::from(view.settings.prefill_cost_tokens_per_ms)
         }
     }
 }
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -2,13 +2,13 @@
 //! as the difference between the two the load from elsewhere.
 
 use crate::fairness::tree::Share;
-use crate::kind::PoolSettings;
 use crate::pace::book::EnginePace;
 use crate::pace::spans::ReadingSpans;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::length::{LengthClass, LengthModel};
 use crate::placement::reading::Reading;
 use crate::rate::engine::EngineRate;
+use crate::settings::PoolSettings;
 use prelude::{BoxId, DataCentreId, PermitId, TargetId, TargetIncarnation};
 use slotmap::{SlotMap, new_key_type};
 use std::collections::VecDeque;
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -2,8 +2,8 @@
 //! dispatcher is silent.
 
 use crate::demand::Verdict;
-use crate::kind::PolicyKind;
 use crate::placement::ledger::EngineState;
+use crate::settings::PolicyKind;
 use prelude::{Avoided, PermitId, Refusal, RefusalReason, TargetId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -9,7 +9,6 @@
 use crate::fairness::told::KnownBoxes;
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
-use crate::kind::{PolicyKind, PoolSettings};
 use crate::pace::book::PaceBook;
 use crate::placement::engine_set::EngineSet;
 use crate::placement::forecast::Forecast;
@@ -17,6 +16,7 @@
 use crate::placement::length::{End, LengthModel};
 use crate::placement::prefixes::PrefixIndex;
 use crate::placement::reading::ReadingRate;
+use crate::settings::{PolicyKind, PoolSettings};
 use prelude::{BoxId, PermitId, TargetId};
 use std::collections::{HashMap, HashSet, VecDeque};
 
--- a/components/policy/src/kind.rs
+++ b/components/policy/src/settings.rs
@@ -31,7 +31,7 @@
 /// How pending prefill on an engine affects placement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum ReadingPolicy {
+pub enum PrefillPolicy {
     /// Limits the prompt tokens that wait for prefill on an engine; otherwise only memory counts.
     Bound,
     /// Forecasts when an engine finishes its pending prefill and weighs that time against memory.
@@ -92,15 +92,18 @@
     /// soon.
     pub protection: bool,
     /// How pending prefill affects placement.
-    pub reading: ReadingPolicy,
-    /// Maximum prompt tokens per engine that wait for prefill, under [`ReadingPolicy::Bound`].
+    #[serde(rename = "reading")]
+    pub prefill: PrefillPolicy,
+    /// Maximum prompt tokens per engine that wait for prefill, under [`PrefillPolicy::Bound`].
     pub prefill_tokens: u32,
     /// An engine with more pending prefill than this, in milliseconds, gets no further prompt,
-    /// under [`ReadingPolicy::FirstToken`].
-    pub reading_ahead_ms: u32,
+    /// under [`PrefillPolicy::FirstToken`].
+    #[serde(rename = "reading_ahead_ms")]
+    pub prefill_ahead_ms: u32,
     /// Cost of a millisecond of pending prefill, in tokens of memory, under
-    /// [`ReadingPolicy::FirstToken`].
-    pub reading_tokens_per_ms: u32,
+    /// [`PrefillPolicy::FirstToken`].
+    #[serde(rename = "reading_tokens_per_ms")]
+    pub prefill_cost_tokens_per_ms: u32,
     /// Whether the pace of each engine is learned.
     pub learns_pace: bool,
     /// Cost of a pause beyond its caller's goal, in milliseconds of prefill; 0 ignores pauses.
@@ -152,10 +155,10 @@
             urgent_ahead: false,
             memory_ahead: false,
             protection: false,
-            reading: ReadingPolicy::FirstToken,
+            prefill: PrefillPolicy::FirstToken,
             prefill_tokens: 4096,
-            reading_ahead_ms: 1_000,
-            reading_tokens_per_ms: 100,
+            prefill_ahead_ms: 1_000,
+            prefill_cost_tokens_per_ms: 100,
             learns_pace: true,
             long_pause_ms: 4_000,
             running_limit: 0,
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::state::Relay;
 use peers::{AcquireRequest, AdoptedStream, OpenStreams, PermitReply, UpdateReply, UpdateRequest};
 use policy::{
-    Adopted, Demand, End, LengthClass, Pool, PoolSettings, ReadingPolicy, Submitted, Turns,
+    Adopted, Demand, End, LengthClass, Pool, PoolSettings, PrefillPolicy, Submitted, Turns,
     Verdict, WaitingPolicy,
 };
 use prelude::{
@@ -72,9 +72,9 @@
             false => WaitingPolicy::Pace,
         },
         ranks: file.has(Mechanism::RankOrder),
-        reading: match file.has(Mechanism::ReadingForecast) {
-            true => ReadingPolicy::FirstToken,
-            false => ReadingPolicy::Bound,
+        prefill: match file.has(Mechanism::ReadingForecast) {
+            true => PrefillPolicy::FirstToken,
+            false => PrefillPolicy::Bound,
         },
         prefill_tokens: match file.has(Mechanism::ReadingBound) {
             true => PREFILL_TOKENS,
--- a/components/replay/tests/loads.rs
+++ b/components/replay/tests/loads.rs
@@ -1,6 +1,6 @@
 //! Each gain of the decisions, on the load pattern that it answers: the way before it does worse on the same days.
 
-use policy::{PoolSettings, ReadingPolicy, WaitingPolicy};
+use policy::{PoolSettings, PrefillPolicy, WaitingPolicy};
 use replay::{AccountFigures, Figures, Load, LoadError, play};
 use rstest::rstest;
 
@@ -36,7 +36,7 @@
 
 /// As decisions were before reading was forecast.
 fn before(settings: &mut PoolSettings) {
-    settings.reading = ReadingPolicy::Bound;
+    settings.prefill = PrefillPolicy::Bound;
     settings.waiting = WaitingPolicy::Pace;
     settings.margin_initial = 0.0;
     settings.margin_min = 0.0;
@@ -87,7 +87,7 @@
 #[test]
 fn prompts_do_not_gather_at_one_engine_while_others_read_nothing() {
     let before = days("calm-wave", |settings| {
-        settings.reading = ReadingPolicy::Bound
+        settings.prefill = PrefillPolicy::Bound
     });
     let now = days("calm-wave", as_it_is);
     assert!(first_token_ms(&before, 0.5) > 550.0);
