--- a/components/policy/src/admission/protection.rs
+++ b/components/policy/src/admission/protection.rs
@@ -30,7 +30,7 @@
             return true;
         }
         let is_free = |ledger: &&EngineLedger| {
-            let left_ms = ledger.reading.left_ms(&self.reading_rate, now_ms);
+            let left_ms = ledger.prefill.remaining_ms(&self.prefill_rate, now_ms);
             ledger.state == EngineState::Live && left_ms <= read_ms
         };
         // More than are kept, or all were looked at.
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/waiting.rs
@@ -237,7 +237,7 @@
     }
 
     pub(crate) fn read_ms(&self, demand: &Demand) -> f64 {
-        f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms()
+        f64::from(demand.prompt_tokens) / self.prefill_rate.tokens_per_ms()
     }
 
     fn run_forward(&self, now_ms: u64) -> ForwardRun {
@@ -245,8 +245,8 @@
             ledger.state == EngineState::Live && ledger.bears_one_more(now_ms)
         };
         let reader = |ledger: &EngineLedger| Reader {
-            left_ms: ledger.reading.left_ms(&self.reading_rate, now_ms),
-            tokens_per_ms: ledger.reading.rate(&self.reading_rate),
+            left_ms: ledger.prefill.remaining_ms(&self.prefill_rate, now_ms),
+            tokens_per_ms: ledger.prefill.tokens_per_ms(&self.prefill_rate),
         };
         // Each prompt that waits is read by the engine that is free first: so many free ones are enough for all of them.
         let wanted = self.queue.len() + 1;
--- a/components/policy/src/fairness/told.rs
+++ b/components/policy/src/fairness/told.rs
@@ -75,7 +75,7 @@
         if part <= 0.0 {
             return false;
         }
-        let rate = self.reading_rate.tokens_per_ms();
+        let rate = self.prefill_rate.tokens_per_ms();
         for one in used {
             let read_ms = f64::from(one.prompt_tokens) / rate;
             let held_ms = self.tree.engine_ms(one.held_token_ms as f64);
--- a/components/policy/src/fairness/told_tests.rs
+++ b/components/policy/src/fairness/told_tests.rs
@@ -116,7 +116,7 @@
         prompt_tokens: 100,
     }];
     both_wait(&mut pool, at_ms);
-    let rate = pool.reading_rate.tokens_per_ms();
+    let rate = pool.prefill_rate.tokens_per_ms();
     pool.adopt_use(BoxId(1), &used, at_ms);
     pool.adopt_use(BoxId(1), &used, at_ms + later_ms);
     let charged_ms = pool.tree.rank(&share(FLOOD))[2] - pool.tree.rank(&share(OTHER))[2];
--- a/components/policy/src/pace/felt.rs
+++ b/components/policy/src/pace/felt.rs
@@ -8,7 +8,7 @@
 use crate::placement::forecast::HORIZONS_TOKENS;
 use crate::placement::ledger::{EngineLedger, Stream, Streams};
 use crate::placement::length::LengthModel;
-use crate::placement::reading::ReadingRate;
+use crate::placement::prefill::PrefillRate;
 use crate::pool::Pool;
 use crate::settings::PoolSettings;
 use prelude::TargetId;
@@ -22,7 +22,7 @@
     pub book: &'a PaceBook,
     pub streams: &'a Streams,
     pub settings: &'a PoolSettings,
-    pub rate: &'a ReadingRate,
+    pub rate: &'a PrefillRate,
     pub tokens_per_ms: f64,
     pub now_ms: u64,
 }
@@ -55,8 +55,8 @@
             event_ms: event_ms(0.0)?,
             beside_ms: event_ms(1.0)?,
             disturbance: self.book.disturbance(&ledger.pace),
-            reading_share: ledger.spans.share(READING_OVER_MS, self.now_ms),
-            reading_ms: prompt_tokens / ledger.reading.rate(self.rate),
+            reading_share: ledger.prefill_spans.share(READING_OVER_MS, self.now_ms),
+            reading_ms: prompt_tokens / ledger.prefill.tokens_per_ms(self.rate),
         })
     }
 
@@ -143,7 +143,7 @@
             book: &self.pace_book,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            rate: &self.prefill_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         }
--- a/components/policy/src/pace/felt_tests.rs
+++ b/components/policy/src/pace/felt_tests.rs
@@ -100,8 +100,8 @@
 /// Has both engines read half of the time.
 fn reading(pool: &mut Pool) {
     for ledger in pool.engines.iter_mut() {
-        ledger.spans.reads(true, NOW_MS - 1_000);
-        ledger.spans.reads(false, NOW_MS);
+        ledger.prefill_spans.reads(true, NOW_MS - 1_000);
+        ledger.prefill_spans.reads(false, NOW_MS);
     }
 }
 
--- a/components/policy/src/pace/observed.rs
+++ b/components/policy/src/pace/observed.rs
@@ -57,8 +57,8 @@
             target,
             gaps,
             streams: ledger.streams.len() as u32,
-            reading_share: ledger.spans.share(over_ms, now_ms),
-            read_beside: ledger.spans.share(over_ms + NEWS_MS, now_ms) > 0.0,
+            reading_share: ledger.prefill_spans.share(over_ms, now_ms),
+            read_beside: ledger.prefill_spans.share(over_ms + NEWS_MS, now_ms) > 0.0,
             expected_ms: None,
         };
         if self.settings.learns_pace {
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -4,7 +4,7 @@
 use crate::demand::Demand;
 use crate::pace::felt::{PauseView, Pausing, expected_tokens};
 use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
-use crate::placement::reading::ReadingRate;
+use crate::placement::prefill::PrefillRate;
 use crate::pool::{Pool, demand_forecast};
 use crate::settings::PrefillPolicy;
 use prelude::TargetId;
@@ -47,7 +47,7 @@
             book: &self.pace_book,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            rate: &self.prefill_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         };
@@ -71,7 +71,7 @@
                 && !at_limit
                 && ledger.bears_one_more(now_ms)
                 && !ledger.is_backed_up(now_ms);
-            if !is_eligible || !accepts_prefill(ledger, &self.reading_rate, demand, &view) {
+            if !is_eligible || !accepts_prefill(ledger, &self.prefill_rate, demand, &view) {
                 continue;
             }
             let affinity = demand.prefix.map_or(0.0, |(prefix, tokens)| {
@@ -81,7 +81,7 @@
             let is_near = demand.near == Some(ledger.info.data_centre);
             let locality_bonus =
                 f64::from(u8::from(is_near)) * f64::from(self.settings.near_tokens);
-            let prefill_cost = prefill_cost_tokens(ledger, &self.reading_rate, &view);
+            let prefill_cost = prefill_cost_tokens(ledger, &self.prefill_rate, &view);
             let bonus_before_pauses = affinity + locality_bonus - prefill_cost;
             // The memory forecast is most of the cost of a decision. It is skipped for an engine
             // that would lose even if its memory were empty.
@@ -134,31 +134,31 @@
 /// Whether an engine may take one more prompt to prefill.
 fn accepts_prefill(
     ledger: &EngineLedger,
-    rate: &ReadingRate,
+    rate: &PrefillRate,
     demand: &Demand,
     view: &RoomView<'_>,
 ) -> bool {
-    let (settings, reading) = (view.settings, &ledger.reading);
-    if reading.is_idle() {
+    let (settings, prefill) = (view.settings, &ledger.prefill);
+    if prefill.is_idle() {
         return true;
     }
     match settings.prefill {
         PrefillPolicy::Bound => {
-            let total = reading.tokens() + u64::from(demand.prompt_tokens);
+            let total = prefill.pending_tokens() + u64::from(demand.prompt_tokens);
             total <= u64::from(settings.prefill_tokens)
         }
         PrefillPolicy::FirstToken => {
-            reading.left_ms(rate, view.now_ms) <= f64::from(settings.prefill_ahead_ms)
+            prefill.remaining_ms(rate, view.now_ms) <= f64::from(settings.prefill_ahead_ms)
         }
     }
 }
 
 /// Cost of an engine's pending prefill, in tokens of memory.
-fn prefill_cost_tokens(ledger: &EngineLedger, rate: &ReadingRate, view: &RoomView<'_>) -> f64 {
+fn prefill_cost_tokens(ledger: &EngineLedger, rate: &PrefillRate, view: &RoomView<'_>) -> f64 {
     match view.settings.prefill {
         PrefillPolicy::Bound => 0.0,
         PrefillPolicy::FirstToken => {
-            let remaining_ms = ledger.reading.left_ms(rate, view.now_ms);
+            let remaining_ms = ledger.prefill.remaining_ms(rate, view.now_ms);
             remaining_ms * f64::from(view.settings.prefill_cost_tokens_per_ms)
         }
     }
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -6,7 +6,7 @@
 use crate::pace::spans::ReadingSpans;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
 use crate::placement::length::{LengthClass, LengthModel};
-use crate::placement::reading::Reading;
+use crate::placement::prefill::PrefillQueue;
 use crate::rate::engine::EngineRate;
 use crate::settings::PoolSettings;
 use prelude::{BoxId, DataCentreId, PermitId, TargetId, TargetIncarnation};
@@ -190,9 +190,9 @@
     /// Preemptions reported since this ledger was created.
     pub preemptions_seen: u64,
     /// Prompts whose prefill is pending.
-    pub reading: Reading,
+    pub prefill: PrefillQueue,
     /// Recent periods in which it was prefilling.
-    pub(crate) spans: ReadingSpans,
+    pub(crate) prefill_spans: ReadingSpans,
     /// How fast it produces events.
     pub(crate) pace: EnginePace,
     forecast: Forecast,
@@ -214,8 +214,8 @@
             report: None,
             foreign_tokens: 0.0,
             preemptions_seen: 0,
-            reading: Reading::default(),
-            spans: ReadingSpans::default(),
+            prefill: PrefillQueue::default(),
+            prefill_spans: ReadingSpans::default(),
             pace: EnginePace::default(),
             forecast: Forecast::default(),
             forecast_ms: None,
@@ -260,8 +260,8 @@
     /// Removes a stream.
     pub fn remove(&mut self, key: StreamKey, now_ms: u64) {
         self.streams.retain(|other| *other != key);
-        self.reading.left(key, now_ms);
-        self.spans.reads(!self.reading.is_idle(), now_ms);
+        self.prefill.remove(key, now_ms);
+        self.prefill_spans.reads(!self.prefill.is_idle(), now_ms);
         self.forecast_ms = None;
     }
 
--- a/components/policy/src/placement/reading.rs
+++ b/components/policy/src/placement/prefill.rs
@@ -26,12 +26,12 @@
 
 /// The prefill rate of a pool's engines, estimated from first tokens.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingRate {
+pub struct PrefillRate {
     tokens_per_ms: f64,
     observations: f64,
 }
 
-impl Default for ReadingRate {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self {
             tokens_per_ms: RATE_INITIAL_TOKENS_PER_MS,
@@ -40,7 +40,7 @@
     }
 }
 
-impl ReadingRate {
+impl PrefillRate {
     /// Tokens per millisecond.
     pub fn tokens_per_ms(&self) -> f64 {
         self.tokens_per_ms
@@ -61,7 +61,7 @@
 
 /// Prompts whose prefill is pending on one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub struct PrefillQueue {
     prompts: VecDeque<Prompt>,
     /// The earliest time at which the engine started on the first prompt.
     started_ms: u64,
@@ -69,9 +69,9 @@
     relative_rate: Option<f64>,
 }
 
-impl Reading {
+impl PrefillQueue {
     /// Records that a prompt was sent to the engine.
-    pub fn sent(&mut self, key: StreamKey, tokens: u32, now_ms: u64) {
+    pub fn push(&mut self, key: StreamKey, tokens: u32, now_ms: u64) {
         if self.prompts.is_empty() {
             self.started_ms = now_ms;
         }
@@ -79,7 +79,7 @@
     }
 
     /// Records the first token of a prompt and updates the rate.
-    pub fn first_token(&mut self, key: StreamKey, now_ms: u64, pool: &mut ReadingRate) {
+    pub fn record_first_token(&mut self, key: StreamKey, now_ms: u64, pool: &mut PrefillRate) {
         let Some(index) = self.prompts.iter().position(|prompt| prompt.key == key) else {
             return;
         };
@@ -92,7 +92,7 @@
         self.started_ms = now_ms;
     }
 
-    fn observe(&mut self, tokens_per_ms: f64, pool: &mut ReadingRate) {
+    fn observe(&mut self, tokens_per_ms: f64, pool: &mut PrefillRate) {
         let baseline = pool.tokens_per_ms();
         let observed = match pool.observations > 0.0 {
             true => tokens_per_ms.clamp(baseline / RATE_FACTOR_MAX, baseline * RATE_FACTOR_MAX),
@@ -105,7 +105,7 @@
     }
 
     /// Removes a stream that left the engine or ended.
-    pub fn left(&mut self, key: StreamKey, now_ms: u64) {
+    pub fn remove(&mut self, key: StreamKey, now_ms: u64) {
         let first = self.prompts.front().map(|prompt| prompt.key);
         self.prompts.retain(|prompt| prompt.key != key);
         if first == Some(key) {
@@ -119,31 +119,31 @@
     }
 
     /// Pending prompt tokens. A partly processed prompt counts in full.
-    pub fn tokens(&self) -> u64 {
+    pub fn pending_tokens(&self) -> u64 {
         let tokens = self.prompts.iter().map(|prompt| u64::from(prompt.tokens));
         tokens.sum()
     }
 
     /// The engine's prefill rate in tokens per millisecond.
-    pub fn rate(&self, pool: &ReadingRate) -> f64 {
+    pub fn tokens_per_ms(&self, pool: &PrefillRate) -> f64 {
         pool.tokens_per_ms() * self.relative_rate.unwrap_or(1.0)
     }
 
     /// Expected time until the pending prefill is done, in milliseconds. An overdue prompt is
     /// expected to take as long again as it is overdue, so the estimate for a stalled engine keeps
     /// growing.
-    pub fn left_ms(&self, pool: &ReadingRate, now_ms: u64) -> f64 {
+    pub fn remaining_ms(&self, pool: &PrefillRate, now_ms: u64) -> f64 {
         let Some(first) = self.prompts.front() else {
             return 0.0;
         };
-        let rate = self.rate(pool);
+        let rate = self.tokens_per_ms(pool);
         let elapsed_ms = now_ms.saturating_sub(self.started_ms) as f64;
         let first_ms = f64::from(first.tokens) / rate;
-        let others = self.tokens() - u64::from(first.tokens);
+        let others = self.pending_tokens() - u64::from(first.tokens);
         (first_ms - elapsed_ms).abs() + others as f64 / rate
     }
 }
 
 #[cfg(test)]
-#[path = "reading_tests.rs"]
+#[path = "prefill_tests.rs"]
 mod tests;
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -68,7 +68,7 @@
             book: &self.pace_book,
             streams: &self.streams,
             settings: &self.settings,
-            rate: &self.reading_rate,
+            rate: &self.prefill_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         };
@@ -110,8 +110,8 @@
         if let Some(ledger) = self.engines.add_stream(target, key, &forecast, now_ms) {
             ledger.placed(now_ms);
             if generated_tokens == 0 {
-                ledger.reading.sent(key, prompt_tokens, now_ms);
-                ledger.spans.reads(true, now_ms);
+                ledger.prefill.push(key, prompt_tokens, now_ms);
+                ledger.prefill_spans.reads(true, now_ms);
             }
         }
         if let Some(stream) = self.streams.get_mut(key) {
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -14,8 +14,8 @@
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineLedger, Stream, StreamKey, Streams};
 use crate::placement::length::{End, LengthModel};
+use crate::placement::prefill::PrefillRate;
 use crate::placement::prefixes::PrefixIndex;
-use crate::placement::reading::ReadingRate;
 use crate::settings::{PolicyKind, PoolSettings};
 use prelude::{BoxId, PermitId, TargetId};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -46,7 +46,7 @@
     pub(crate) margin: f64,
     margin_decayed_ms: u64,
     pub(crate) tokens_per_ms: f64,
-    pub(crate) reading_rate: ReadingRate,
+    pub(crate) prefill_rate: PrefillRate,
     pub(crate) pace_book: PaceBook,
     /// The latest time passed in by callers, as the pool reads no clock.
     pub(crate) now_ms: u64,
@@ -83,7 +83,7 @@
             prefixes: PrefixIndex::default(),
             margin_decayed_ms: 0,
             tokens_per_ms: PACE_INITIAL_TOKENS_PER_MS,
-            reading_rate: ReadingRate::default(),
+            prefill_rate: PrefillRate::default(),
             pace_book: PaceBook::default(),
             now_ms: 0,
             grants: VecDeque::new(),
@@ -237,7 +237,7 @@
         self.tree.runs(&demand.share);
         self.tree.leaves(&demand.share);
         self.usage.granted(&demand);
-        let prefill_ms = f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms();
+        let prefill_ms = f64::from(demand.prompt_tokens) / self.prefill_rate.tokens_per_ms();
         self.tree.charge(&demand.share, prefill_ms);
         if let Some((prefix, _)) = demand.prefix {
             self.prefixes.note(target, prefix, now_ms);
@@ -280,8 +280,8 @@
         self.by_permit.insert(permit, key);
         let placed = self.engines.add_stream(target, key, &forecast, now_ms);
         if let Some(ledger) = placed.filter(|_| generated_tokens == 0) {
-            ledger.reading.sent(key, prompt_tokens, now_ms);
-            ledger.spans.reads(true, now_ms);
+            ledger.prefill.push(key, prompt_tokens, now_ms);
+            ledger.prefill_spans.reads(true, now_ms);
         }
     }
 
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -75,12 +75,14 @@
     /// Records that an engine has finished the prefill of a stream.
     fn record_prefill(&mut self, key: StreamKey, target: TargetId) {
         let now_ms = self.now_ms;
-        let mut rate = self.reading_rate;
+        let mut rate = self.prefill_rate;
         if let Some(ledger) = self.engine_mut(target) {
-            ledger.reading.first_token(key, now_ms, &mut rate);
-            ledger.spans.reads(!ledger.reading.is_idle(), now_ms);
+            ledger.prefill.record_first_token(key, now_ms, &mut rate);
+            ledger
+                .prefill_spans
+                .reads(!ledger.prefill.is_idle(), now_ms);
         }
-        self.reading_rate = rate;
+        self.prefill_rate = rate;
     }
 
     pub(crate) fn learn(
