--- a/components/bench/src/capacity/dispatch.rs
+++ b/components/bench/src/capacity/dispatch.rs
@@ -3,7 +3,9 @@
 use super::slope::{Slope, Subject};
 use super::target;
 use crate::process::rss_bytes;
-use policy::{Adopted, Demand, End, EngineInfo, LengthClass, Pool, PoolSettings, Share};
+use policy::{
+    Demand, EngineInfo, LengthClass, Pool, PoolSettings, RunningStream, Share, StreamEnd,
+};
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 use std::time::Instant;
 
@@ -72,13 +74,13 @@
         max_tokens: 4096,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: u64::MAX,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -97,7 +99,7 @@
     };
     pool.set_engines(&(0..ENGINES).map(engine).collect::<Vec<_>>());
     for serial in 0..streams {
-        let adopted = Adopted {
+        let adopted = RunningStream {
             demand: demand(serial),
             target: TargetId(serial % ENGINES),
             generated_tokens: 1 + (serial % 500) as u32,
@@ -121,7 +123,7 @@
         for tokens in [1, 64, 128, 192] {
             pool.progress(permit, tokens, now_ms);
         }
-        pool.release(permit, 200, End::Finished);
+        pool.release(permit, 200, StreamEnd::Finished);
     }
     began.elapsed().as_micros() as f64 / CYCLES as f64
 }
--- a/components/node/src/dispatch.rs
+++ b/components/node/src/dispatch.rs
@@ -8,8 +8,8 @@
 use engines::LoadReport;
 use peers::{AcquireRequest, AdoptedStream, EndedStream, PermitReply, UpdateReply, UpdateRequest};
 use policy::{
-    Adopted, Demand, End, EngineInfo, LengthClass, Pool, PoolSettings, PoolView, Share, Submitted,
-    Verdict,
+    Demand, EngineInfo, LengthClass, Pool, PoolSettings, PoolView, RunningStream, Share, StreamEnd,
+    SubmitOutcome, Verdict,
 };
 use prelude::{BoxId, DataCentreId, PermitId, PoolId, Refusal, RefusalReason, TargetId};
 use settings::Resolved;
@@ -168,13 +168,13 @@
             max_tokens: request.max_tokens,
             rank: request.rank,
             pause_goal_ms: request.pause_goal_ms,
-            since_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
+            arrived_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
             deadline_ms: now_ms + u64::from(request.wait_left_ms),
-            leaves_ms: now_ms + u64::from(request.caller_left_ms),
+            caller_deadline_ms: now_ms + u64::from(request.caller_left_ms),
             prefix: request.prefix,
-            told_tokens: request.told_tokens,
+            oracle_tokens: request.told_tokens,
             avoid: request.avoid,
-            near: None,
+            preferred_data_centre: None,
         }
     }
 
@@ -186,8 +186,8 @@
                 serial: stream.serial,
             };
             let end = match stream.finished {
-                true => End::Finished,
-                false => End::Censored,
+                true => StreamEnd::Finished,
+                false => StreamEnd::Censored,
             };
             self.pool.release(permit, stream.tokens, end);
             self.decided.remove(&permit);
@@ -251,8 +251,8 @@
         }
         let demand = self.demand(&message.0, now_ms);
         let place = match self.pool.submit(demand, now_ms) {
-            Submitted::Refused(refusal) => return Word::Now(PermitReply::Refused(refusal)),
-            Submitted::Waits { place } => place,
+            SubmitOutcome::Refused(refusal) => return Word::Now(PermitReply::Refused(refusal)),
+            SubmitOutcome::Queued { position } => position,
         };
         let (reply, decided) = oneshot::channel();
         self.waiters.insert(permit, reply);
@@ -304,7 +304,7 @@
         let permits: HashSet<PermitId> = streams.iter().map(|s| s.request.permit).collect();
         self.pool.keep_only(from, &permits, now_ms);
         for stream in streams {
-            let adopted = Adopted {
+            let adopted = RunningStream {
                 demand: self.demand(&stream.request, now_ms),
                 target: stream.target,
                 generated_tokens: stream.tokens,
--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -3,7 +3,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    Demand, End, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, PrefillPolicy, Share,
+    Demand, EngineInfo, GapsTold, LengthClass, Pool, PoolSettings, PrefillPolicy, Share, StreamEnd,
     WaitingPolicy,
 };
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
@@ -36,13 +36,13 @@
         max_tokens: 1_756,
         rank: if serial.is_multiple_of(3) { 0 } else { 5 },
         pause_goal_ms: Some(180),
-        since_ms: now_ms,
+        arrived_ms: now_ms,
         deadline_ms: now_ms + 1_500,
-        leaves_ms: now_ms + 6_000,
+        caller_deadline_ms: now_ms + 6_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: Some(DataCentreId(serial % 3)),
+        preferred_data_centre: Some(DataCentreId(serial % 3)),
     }
 }
 
@@ -87,7 +87,7 @@
     let Some(ended) = serial.checked_sub(OPEN) else {
         return;
     };
-    pool.release(demand(ended, 0).permit, 300, End::Finished);
+    pool.release(demand(ended, 0).permit, 300, StreamEnd::Finished);
 }
 
 fn decisions(criterion: &mut Criterion) {
--- a/components/policy/src/admission/coming.rs
+++ b/components/policy/src/admission/coming.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::outlook::Need;
 use crate::admission::room_ahead::Curve;
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 
 /// Time after which an arrival counts half: a burst shows within a second, and is forgotten some seconds after it.
 const HALF_LIFE_MS: f64 = 1_000.0;
@@ -29,13 +29,13 @@
 /// What came lately of each rank.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Coming {
-    ranks: [RankComing; RANKS],
+    ranks: [RankComing; RANK_COUNT],
 }
 
 impl Coming {
     /// Notes that a request came.
     pub fn came(&mut self, demand: &Demand, need: &Need, now_ms: u64) {
-        let coming = &mut self.ranks[usize::from(demand.rank_in_use())];
+        let coming = &mut self.ranks[usize::from(demand.clamped_rank())];
         let fade = coming.fade(now_ms);
         for (sum, held) in coming.held.iter_mut().zip(need.held) {
             *sum = *sum * fade + held;
--- a/components/policy/src/admission/forecast_error.rs
+++ b/components/policy/src/admission/forecast_error.rs
@@ -1,7 +1,7 @@
 //! How far forecasts of first tokens were off, by rank: what they took against what was forecast, fading. A forecast is
 //! corrected by it, so that a pool that serves later than it seems refuses sooner.
 
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use prelude::PermitId;
 use std::collections::HashMap;
 
@@ -35,7 +35,7 @@
 /// How far forecasts were off.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForecastErrors {
-    ranks: [RankError; RANKS],
+    ranks: [RankError; RANK_COUNT],
     open: HashMap<PermitId, Open>,
 }
 
@@ -46,7 +46,7 @@
             return;
         }
         let open = Open {
-            rank: demand.rank_in_use(),
+            rank: demand.clamped_rank(),
             at_ms: now_ms,
             forecast_ms,
         };
--- a/components/policy/src/admission/outlook.rs
+++ b/components/policy/src/admission/outlook.rs
@@ -52,7 +52,7 @@
     /// Adds a request.
     pub fn add(&mut self, demand: &Demand, need: &Need, rank: u8) {
         self.hold(&need.held);
-        self.same_rank += usize::from(demand.rank_in_use() == rank);
+        self.same_rank += usize::from(demand.clamped_rank() == rank);
     }
 
     /// Adds memory that is held.
--- a/components/policy/src/admission/protection.rs
+++ b/components/policy/src/admission/protection.rs
@@ -7,7 +7,7 @@
 //! Nothing is kept where nothing else comes: what came is forgotten by half within a second.
 
 use crate::admission::queue::Place;
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::Pool;
 
@@ -48,13 +48,13 @@
     fn kept_engines(&self, demand: &Demand, read_ms: f64, now_ms: u64) -> f64 {
         let coming = &self.outlook.coming;
         if self.tree.outweighs_others(&demand.share) {
-            let mean = coming.requests_before(RANKS as u8, now_ms) * read_ms;
+            let mean = coming.requests_before(RANK_COUNT as u8, now_ms) * read_ms;
             return mean + KEPT_DEVIATIONS * mean.sqrt();
         }
         if !self.settings.protection {
             return 0.0;
         }
-        coming.requests_before(demand.rank_in_use(), now_ms) * read_ms * KEPT_SHARE
+        coming.requests_before(demand.clamped_rank(), now_ms) * read_ms * KEPT_SHARE
     }
 }
 
--- a/components/policy/src/admission/protection_tests.rs
+++ b/components/policy/src/admission/protection_tests.rs
@@ -25,9 +25,9 @@
 fn request(serial: u64, rank: u8, prompt_tokens: u32, now_ms: u64) -> Demand {
     Demand {
         prompt_tokens,
-        since_ms: now_ms,
+        arrived_ms: now_ms,
         deadline_ms: now_ms + 20_000,
-        leaves_ms: now_ms + 40_000,
+        caller_deadline_ms: now_ms + 40_000,
         ..demand(serial, 1, rank)
     }
 }
@@ -40,7 +40,7 @@
         let permit = urgent.permit;
         pool.submit(urgent, at_ms);
         pool.run(at_ms);
-        pool.release(permit, 2, crate::End::Finished);
+        pool.release(permit, 2, crate::StreamEnd::Finished);
     }
 }
 
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -8,7 +8,7 @@
 
 use crate::admission::forward::ForwardRun;
 use crate::admission::outlook::{Before, Need};
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use crate::fairness::tree::{FairTree, Share};
 use prelude::{AccountId, PermitId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -31,7 +31,7 @@
     fn of(demand: &Demand) -> Self {
         Self {
             account: demand.share.account,
-            rank: demand.rank_in_use(),
+            rank: demand.clamped_rank(),
         }
     }
 }
@@ -50,7 +50,11 @@
     /// Its order among those of its account and rank.
     fn key(&self) -> (u64, u64, u64) {
         let demand = &self.demand;
-        (demand.leaves_ms, self.begins_by_ms, demand.since_ms)
+        (
+            demand.caller_deadline_ms,
+            self.begins_by_ms,
+            demand.arrived_ms,
+        )
     }
 }
 
@@ -72,8 +76,8 @@
     }
 
     /// For each rank, whether a request of it waits.
-    pub fn ranks(&self) -> [bool; RANKS] {
-        let mut ranks = [false; RANKS];
+    pub fn ranks(&self) -> [bool; RANK_COUNT] {
+        let mut ranks = [false; RANK_COUNT];
         for place in self.lines.keys() {
             ranks[usize::from(place.rank)] = true;
         }
@@ -176,7 +180,7 @@
     pub fn others_wait(&self, tree: &FairTree, now_ms: u64) -> bool {
         self.lines.values().any(|line| {
             let front = line.front().map(|waiting| &waiting.demand);
-            let long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
+            let long = front.filter(|demand| demand.arrived_ms + LONG_WAIT_MS <= now_ms);
             long.is_some_and(|demand| !tree.floods(&demand.share))
         })
     }
@@ -194,7 +198,7 @@
         }
         waiting.sort_by_key(|(floods, waiting)| {
             let demand = &waiting.demand;
-            (*floods, demand.rank_in_use(), waiting.key(), demand.permit)
+            (*floods, demand.clamped_rank(), waiting.key(), demand.permit)
         });
         let parts = waiting
             .into_iter()
@@ -210,7 +214,7 @@
         tree: &FairTree,
         run: &mut ForwardRun,
     ) -> Before {
-        let rank = demand.rank_in_use();
+        let rank = demand.clamped_rank();
         let mut before = Before::default();
         for other in self.ahead(demand, begins_by_ms, tree) {
             before.add(&other.demand, &other.need, rank);
@@ -236,8 +240,8 @@
         begins_by_ms: u64,
         tree: &'a FairTree,
     ) -> impl Iterator<Item = &'a Waiting> {
-        let turn = (tree.floods(&demand.share), demand.rank_in_use());
-        let key = (demand.leaves_ms, begins_by_ms, demand.since_ms);
+        let turn = (tree.floods(&demand.share), demand.clamped_rank());
+        let key = (demand.caller_deadline_ms, begins_by_ms, demand.arrived_ms);
         let lines = self.lines.iter().filter_map(move |(place, line)| {
             let floods = tree.floods(&line.front()?.demand.share);
             let other = (floods, place.rank);
@@ -252,7 +256,7 @@
     /// How many requests of a place have waited since `since_ms` or longer, counted up to `most`.
     pub fn count_since(&self, place: Place, since_ms: u64, most: usize) -> usize {
         let line = self.lines.get(&place).into_iter().flatten().take(most);
-        line.filter(|waiting| waiting.demand.since_ms <= since_ms)
+        line.filter(|waiting| waiting.demand.arrived_ms <= since_ms)
             .count()
     }
 
@@ -288,7 +292,7 @@
         }
         self.lines.retain(|_, line| !line.is_empty());
         // In an order that does not hang on chance.
-        taken.sort_by_key(|demand| (demand.since_ms, demand.permit));
+        taken.sort_by_key(|demand| (demand.arrived_ms, demand.permit));
         self.len -= taken.len();
         taken
     }
--- a/components/policy/src/admission/rate.rs
+++ b/components/policy/src/admission/rate.rs
@@ -9,7 +9,7 @@
 impl Pool {
     /// Refuses a request that no engine can be sent by its deadline, with the time after which one can.
     pub(crate) fn beyond_rates(&self, demand: &Demand, now_ms: u64) -> Option<Refusal> {
-        let wait_ms = self.rate_wait_ms(demand.rank_in_use(), now_ms)?;
+        let wait_ms = self.rate_wait_ms(demand.clamped_rank(), now_ms)?;
         (now_ms + wait_ms > demand.deadline_ms).then_some(Refusal {
             reason: RefusalReason::Crowded,
             retry_after_ms: Some(wait_ms),
--- a/components/policy/src/admission/rate_tests.rs
+++ b/components/policy/src/admission/rate_tests.rs
@@ -1,7 +1,7 @@
 use crate::admission::test_demands::demand;
-use crate::demand::{Demand, Submitted, Verdict};
+use crate::demand::{Demand, SubmitOutcome, Verdict};
 use crate::placement::ledger::{EngineInfo, EngineReport};
-use crate::placement::length::End;
+use crate::placement::length::StreamEnd;
 use crate::pool::Pool;
 use crate::settings::PoolSettings;
 use prelude::{DataCentreId, RefusalReason, TargetId};
@@ -42,7 +42,7 @@
         }
         for (_, permit) in running.extract_if(.., |(ends_ms, _)| *ends_ms <= now_ms) {
             pool.progress(permit, 10, now_ms);
-            pool.release(permit, 10, End::Finished);
+            pool.release(permit, 10, StreamEnd::Finished);
         }
     }
     placed
@@ -69,7 +69,7 @@
     let mut pool = pool([Some(2.0), Some(3.0)]);
     let placed = placed(&mut pool);
     assert!((40..=50).contains(&placed.len()), "{}", placed.len());
-    let Submitted::Refused(refusal) = pool.submit(short(20_000, 10_100), 10_000) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(short(20_000, 10_100), 10_000) else {
         panic!("it waits");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
@@ -81,7 +81,7 @@
     let mut pool = pool([Some(0.25), Some(0.25)]);
     assert!(matches!(
         pool.submit(demand(1, 1, 1), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
     assert!(pool.run(100).is_empty());
     pool.set_rate_limit(ENGINES[1], None, 200);
--- a/components/policy/src/admission/returning.rs
+++ b/components/policy/src/admission/returning.rs
@@ -33,7 +33,7 @@
         }
         let caller = Caller {
             back_ms,
-            turn: (floods, demand.rank_in_use()),
+            turn: (floods, demand.clamped_rank()),
             prompt_tokens: demand.prompt_tokens,
             need: *need,
         };
--- a/components/policy/src/admission/test_demands.rs
+++ b/components/policy/src/admission/test_demands.rs
@@ -26,12 +26,12 @@
         max_tokens: 100,
         rank,
         pause_goal_ms: None,
-        since_ms: serial,
+        arrived_ms: serial,
         deadline_ms: 5_000,
-        leaves_ms: 10_000,
+        caller_deadline_ms: 10_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/waiting.rs
@@ -101,14 +101,14 @@
         let mut rank = 0;
         let mut verdicts = Vec::new();
         for (demand, need) in self.queue.in_order(&self.tree) {
-            if demand.rank_in_use() != rank {
-                rank = demand.rank_in_use();
+            if demand.clamped_rank() != rank {
+                rank = demand.clamped_rank();
                 before.same_rank = 0;
             }
             let Some(first) = self.first_token(&run, demand, need, &before, now_ms) else {
                 break;
             };
-            let waited_ms = now_ms.saturating_sub(demand.since_ms) as f64;
+            let waited_ms = now_ms.saturating_sub(demand.arrived_ms) as f64;
             let is_early = waited_ms <= whole_ms(demand) * EARLY_SHARE;
             if is_early && self.is_over(demand, first, now_ms) {
                 let refusal = self.crowded(run.clone(), demand, need, before, &mut returning);
@@ -140,7 +140,7 @@
     ) -> Refusal {
         let now_ms = self.now_ms;
         let floods = self.tree.floods(&demand.share);
-        let turn = (floods, demand.rank_in_use());
+        let turn = (floods, demand.clamped_rank());
         let ahead = self.settings.memory_ahead;
         if ahead {
             returning.add_to(&mut before, &mut run, turn, now_ms);
@@ -164,7 +164,7 @@
             .deadline_ms
             .saturating_sub(self.read_ms(demand) as u64);
         let least_ms = (whole_ms(demand) * WAIT_MIN_SHARE) as u64;
-        latest_ms.max(demand.since_ms.saturating_add(least_ms))
+        latest_ms.max(demand.arrived_ms.saturating_add(least_ms))
     }
 
     /// Whether a first token comes too late, and not only because its own prompt is long.
@@ -183,7 +183,7 @@
         before: &Before,
         now_ms: u64,
     ) -> Option<FirstToken> {
-        let rank = demand.rank_in_use();
+        let rank = demand.clamped_rank();
         let read_ms = self.read_ms(demand);
         let alone_ms = run.first_token_ms(demand.prompt_tokens)?;
         let held_up = self.held_up(run, rank, now_ms);
@@ -265,7 +265,7 @@
 
 /// The time from its coming until its first token is due.
 fn whole_ms(demand: &Demand) -> f64 {
-    demand.deadline_ms.saturating_sub(demand.since_ms) as f64
+    demand.deadline_ms.saturating_sub(demand.arrived_ms) as f64
 }
 
 #[cfg(test)]
--- a/components/policy/src/admission/waiting_tests.rs
+++ b/components/policy/src/admission/waiting_tests.rs
@@ -2,7 +2,7 @@
 use crate::placement::ledger::EngineInfo;
 use crate::placement::length::LengthClass;
 use crate::pool::Pool;
-use crate::{Demand, PoolSettings, Submitted, Verdict};
+use crate::{Demand, PoolSettings, SubmitOutcome, Verdict};
 use prelude::{
     AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, RefusalReason, TargetId,
 };
@@ -44,13 +44,13 @@
         max_tokens: 100,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms,
-        leaves_ms: 10_000,
+        caller_deadline_ms: 10_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -62,7 +62,7 @@
         pool.run(0);
     }
     // The fourth would be read after 4 s.
-    let Submitted::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
         panic!("it waits");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
@@ -71,7 +71,7 @@
     assert!((2_400..=2_600).contains(&back_ms), "{back_ms}");
     assert!(matches!(
         pool.submit(demand(5, 5_000, 4_500), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
 }
 
@@ -80,7 +80,7 @@
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, 50_000, 1_000), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
     assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
 }
@@ -97,7 +97,10 @@
         pause_goal_ms: None,
         ..demand(9, 5_000, 2_500)
     };
-    assert!(matches!(pool.submit(urgent, 0), Submitted::Waits { .. }));
+    assert!(matches!(
+        pool.submit(urgent, 0),
+        SubmitOutcome::Queued { .. }
+    ));
 }
 
 #[test]
@@ -105,9 +108,9 @@
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
     pool.run(0);
-    for (serial, leaves_ms) in [(2, 10_000), (3, 6_000), (4, 12_000)] {
+    for (serial, caller_deadline_ms) in [(2, 10_000), (3, 6_000), (4, 12_000)] {
         let next = Demand {
-            leaves_ms,
+            caller_deadline_ms,
             ..demand(serial, 5_000, 9_000)
         };
         pool.submit(next, 0);
@@ -147,7 +150,7 @@
     }
     // The others are due after 9 s: it is read after the first, in 2 s.
     let soon = demand(9, 5_000, 3_000);
-    assert!(matches!(pool.submit(soon, 0), Submitted::Waits { .. }));
+    assert!(matches!(pool.submit(soon, 0), SubmitOutcome::Queued { .. }));
     assert_eq!(pool.queue.in_order(&pool.tree)[0].0.permit.serial, 9);
 }
 
@@ -159,8 +162,8 @@
         pool.run(0);
     }
     let back_ms = |serial| match pool.submit(demand(serial, 5_000, 3_000), 0) {
-        Submitted::Refused(refusal) => refusal.retry_after_ms.unwrap(),
-        Submitted::Waits { .. } => panic!("it waits"),
+        SubmitOutcome::Refused(refusal) => refusal.retry_after_ms.unwrap(),
+        SubmitOutcome::Queued { .. } => panic!("it waits"),
     };
     // Each prompt takes a second to read.
     let times: Vec<u64> = [10, 11, 12].map(back_ms).to_vec();
@@ -175,14 +178,14 @@
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, u32::MAX, 1_000), 0),
-        Submitted::Refused(_)
+        SubmitOutcome::Refused(_)
     ));
     for (serial, max_tokens) in [(2, 0), (3, u32::MAX)] {
         let next = Demand {
             max_tokens,
             ..demand(serial, 0, 1_000)
         };
-        assert!(matches!(pool.submit(next, 0), Submitted::Waits { .. }));
+        assert!(matches!(pool.submit(next, 0), SubmitOutcome::Queued { .. }));
         assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
     }
 }
--- a/components/policy/src/demand.rs
+++ b/components/policy/src/demand.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of priority ranks.
-pub const RANKS: usize = 10;
+pub const RANK_COUNT: usize = 10;
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,35 +27,35 @@
     /// acceptable.
     pub pause_goal_ms: Option<u32>,
     /// Arrival time, on the dispatcher's clock.
-    pub since_ms: u64,
+    pub arrived_ms: u64,
     /// When the first token is due; a request that still waits then is refused.
     pub deadline_ms: u64,
     /// When the caller gives up.
-    pub leaves_ms: u64,
+    pub caller_deadline_ms: u64,
     /// Hash and length in tokens of a prompt prefix that engines may have cached.
     pub prefix: Option<(u64, u32)>,
     /// The true answer length, for the oracle policy.
-    pub told_tokens: Option<u32>,
+    pub oracle_tokens: Option<u32>,
     /// Engines to avoid.
     pub avoid: Avoided,
     /// The data centre of the box that serves the caller.
-    pub near: Option<DataCentreId>,
+    pub preferred_data_centre: Option<DataCentreId>,
 }
 
 impl Demand {
-    /// The rank as an index below [`RANKS`]; higher ranks are clamped to the last one.
-    pub fn rank_in_use(&self) -> u8 {
-        self.rank.min(RANKS as u8 - 1)
+    /// The rank as an index below [`RANK_COUNT`]; higher ranks are clamped to the last one.
+    pub fn clamped_rank(&self) -> u8 {
+        self.rank.min(RANK_COUNT as u8 - 1)
     }
 }
 
 /// Outcome of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// The request is queued.
-    Waits {
+    Queued {
         /// Number of requests queued before it.
-        place: u32,
+        position: u32,
     },
     /// The request was refused.
     Refused(Refusal),
@@ -75,7 +75,7 @@
 
 /// A running stream that a box reports to a new dispatcher.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Adopted {
+pub struct RunningStream {
     /// The request that it was granted for.
     pub demand: Demand,
     /// The engine it runs on.
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -1,7 +1,7 @@
 //! Updates to a pool: its settings, its engines and their state, load reports and cache events.
 
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState, StreamKey};
-use crate::placement::length::End;
+use crate::placement::length::StreamEnd;
 use crate::pool::Pool;
 use crate::settings::PoolSettings;
 use prelude::{AccountId, TargetId};
@@ -78,7 +78,7 @@
         for key in orphaned {
             if let Some(stream) = self.streams.get(key) {
                 let (permit, tokens) = (stream.permit, stream.generated_tokens);
-                self.release(permit, tokens, End::Censored);
+                self.release(permit, tokens, StreamEnd::Censored);
             }
         }
     }
--- a/components/policy/src/fairness/told_tests.rs
+++ b/components/policy/src/fairness/told_tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::demand::{Adopted, Demand};
+use crate::demand::{Demand, RunningStream};
 use crate::placement::ledger::{EngineInfo, EngineReport};
-use crate::placement::length::{End, LengthClass};
+use crate::placement::length::{LengthClass, StreamEnd};
 use crate::settings::PoolSettings;
-use crate::{Submitted, Verdict};
+use crate::{SubmitOutcome, Verdict};
 use prelude::{AccountId, Avoided, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 use rstest::rstest;
 
@@ -39,13 +39,13 @@
         max_tokens: 500,
         rank: 0,
         pause_goal_ms: None,
-        since_ms: came_ms,
+        arrived_ms: came_ms,
         deadline_ms: u64::MAX,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -173,12 +173,12 @@
     fn step(&mut self, pool: &mut Pool, now_ms: u64) {
         let over = |(_, _, since_ms): &(Demand, TargetId, u64)| since_ms + Self::HOLD_MS <= now_ms;
         for (demand, _, _) in self.running.extract_if(.., |one| over(one)) {
-            pool.release(demand.permit, 50, End::Finished);
+            pool.release(demand.permit, 50, StreamEnd::Finished);
         }
         for (permit, verdict) in pool.run(now_ms) {
             let Some(at) = self.waiting.iter().position(|one| one.permit == permit) else {
                 // Whoever asked has asked another: the permit is free again.
-                pool.release(permit, 0, End::Censored);
+                pool.release(permit, 0, StreamEnd::Censored);
                 continue;
             };
             let demand = self.waiting.remove(at);
@@ -196,7 +196,7 @@
     /// Tells a dispatcher that is new everything, as boxes do.
     fn tell(&mut self, pool: &mut Pool, now_ms: u64) {
         for (demand, target, _) in &self.running {
-            let adopted = Adopted {
+            let adopted = RunningStream {
                 demand: demand.clone(),
                 target: *target,
                 generated_tokens: 1,
@@ -247,7 +247,7 @@
     // Boxes ask in any order.
     boxes.waiting.reverse();
     boxes.tell(&mut second, 400);
-    let came_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.since_ms).collect();
+    let came_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.arrived_ms).collect();
     assert!(!came_ms.is_empty());
     let oldest_ms = came_ms.iter().min().copied().unwrap();
     for now_ms in (400..2_000).step_by(20) {
@@ -257,7 +257,7 @@
             .iter()
             .find(|(_, _, since_ms)| *since_ms >= 400);
         if let Some((demand, _, _)) = granted {
-            assert_eq!(demand.since_ms, oldest_ms);
+            assert_eq!(demand.arrived_ms, oldest_ms);
             return;
         }
     }
@@ -357,7 +357,7 @@
 fn what_runs_as_a_pool_is_taken_over_is_charged_from_then_on() {
     let mut pool = pool();
     pool.adopt_use(BoxId(1), &[], 100_000);
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, 1, FLOOD, 99_000),
         target: TargetId(0),
         generated_tokens: 10,
@@ -373,16 +373,16 @@
     let mut pool = pool();
     let in_time = |serial| Demand {
         deadline_ms: 100_500,
-        leaves_ms: 102_000,
+        caller_deadline_ms: 102_000,
         ..demand(1, serial, OTHER, 100_000)
     };
     let crowd = (1..=400).map(|serial| pool.submit(in_time(serial), 100_000));
-    let refused = crowd.filter(|taken| matches!(taken, Submitted::Refused(_)));
+    let refused = crowd.filter(|taken| matches!(taken, SubmitOutcome::Refused(_)));
     assert!(refused.count() > 0, "none is refused");
     let refused_now = pool.submit(in_time(900), 100_001);
-    assert!(matches!(refused_now, Submitted::Refused(_)));
+    assert!(matches!(refused_now, SubmitOutcome::Refused(_)));
     let again = pool.submit_again(in_time(901), 100_001);
-    assert!(matches!(again, Submitted::Waits { .. }));
+    assert!(matches!(again, SubmitOutcome::Queued { .. }));
     // Its time is over as that of any other.
     let verdicts = pool.run(103_000);
     let over = verdicts.iter().find(|(permit, _)| permit.serial == 901);
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -2,9 +2,9 @@
 //! stop reporting expire.
 
 use crate::admission::grant_pace::GrantPace;
-use crate::demand::{Adopted, RANKS};
+use crate::demand::{RANK_COUNT, RunningStream};
 use crate::placement::ledger::Stream;
-use crate::placement::length::End;
+use crate::placement::length::StreamEnd;
 use crate::pool::Pool;
 use prelude::{BoxId, PermitId};
 use std::collections::HashSet;
@@ -18,7 +18,7 @@
 
 impl Pool {
     /// Adopts a stream that runs on a grant of another dispatcher, or without one.
-    pub fn adopt(&mut self, adopted: Adopted, now_ms: u64) {
+    pub fn adopt(&mut self, adopted: RunningStream, now_ms: u64) {
         let permit = adopted.demand.permit;
         self.heard_ms.insert(permit.entry, now_ms);
         self.known.heard(permit.entry, now_ms);
@@ -38,7 +38,7 @@
     /// dispatcher.
     pub fn forget_grant_pace(&mut self) {
         self.pace = GrantPace::default();
-        self.paces = [GrantPace::default(); RANKS];
+        self.paces = [GrantPace::default(); RANK_COUNT];
     }
 
     /// Releases the permits of a box that are missing from the list it reports, except those that
@@ -47,7 +47,7 @@
         let of_box = self
             .streams
             .values()
-            .filter(|stream| stream.entry() == entry);
+            .filter(|stream| stream.entry_box() == entry);
         let in_flight = |stream: &Stream| {
             stream.generated_tokens == 0 && now_ms < stream.progress_ms + GRANT_DELIVERY_MS
         };
@@ -57,7 +57,7 @@
             .map(|stream| (stream.permit, stream.generated_tokens))
             .collect();
         for (permit, tokens) in unlisted {
-            self.release(permit, tokens, End::Censored);
+            self.release(permit, tokens, StreamEnd::Censored);
         }
     }
 
@@ -76,12 +76,12 @@
         let lost = self
             .streams
             .values()
-            .filter(|stream| boxes.contains(&stream.entry()));
+            .filter(|stream| boxes.contains(&stream.entry_box()));
         let lost: Vec<(PermitId, u32)> = lost
             .map(|stream| (stream.permit, stream.generated_tokens))
             .collect();
         for (permit, tokens) in lost {
-            self.release(permit, tokens, End::Censored);
+            self.release(permit, tokens, StreamEnd::Censored);
         }
         for demand in self
             .queue
--- a/components/policy/src/pace/felt.rs
+++ b/components/policy/src/pace/felt.rs
@@ -82,10 +82,10 @@
 
     /// Chance that a stream pauses beyond its goal because a prompt is read beside it.
     fn long_pause_beside(&self, feel: &Feel, stream: &Stream) -> f64 {
-        let Some(goal_ms) = stream.goal_left_ms() else {
+        let Some(goal_ms) = stream.attainable_pause_goal_ms() else {
             return 0.0;
         };
-        let rest_ms = stream.rest_tokens() / self.tokens_per_ms;
+        let rest_ms = stream.remaining_tokens() / self.tokens_per_ms;
         let window_ms = feel.reading_ms.min(rest_ms);
         feel.long_pause_beside(f64::from(goal_ms), window_ms)
     }
--- a/components/policy/src/pace/felt_tests.rs
+++ b/components/policy/src/pace/felt_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::demand::{Adopted, Submitted, Verdict};
+use crate::demand::{RunningStream, SubmitOutcome, Verdict};
 use crate::fairness::tree::Share;
 use crate::pace::observed::{GapsTold, Observed};
 use crate::placement::ledger::EngineInfo;
@@ -35,13 +35,13 @@
         max_tokens,
         rank: 1,
         pause_goal_ms,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: 1_000_000,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -108,7 +108,7 @@
 fn placed(pool: &mut Pool, demand: Demand) -> TargetId {
     assert!(matches!(
         pool.submit(demand, NOW_MS),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
     match pool.run(NOW_MS).as_slice() {
         [(_, Verdict::Granted { target })] => *target,
@@ -163,7 +163,7 @@
     let mut before = pool(memory_alone());
     for pool in [&mut now, &mut before] {
         teach(pool, 2.0);
-        let adopted = Adopted {
+        let adopted = RunningStream {
             demand: demand(1, LONG, Some(GOAL_MS)),
             target: SLOW,
             generated_tokens: 40,
@@ -178,7 +178,7 @@
 fn spares_no_stream_that_is_late_already() {
     let mut pool = pool(PoolSettings::default());
     teach(&mut pool, 2.0);
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
         generated_tokens: 40,
@@ -209,7 +209,7 @@
 #[test]
 fn decides_by_memory_until_a_new_dispatcher_has_seen_events() {
     let mut taken_over = pool(PoolSettings::default());
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
         generated_tokens: 40,
--- a/components/policy/src/pace/observed.rs
+++ b/components/policy/src/pace/observed.rs
@@ -45,7 +45,7 @@
         }
         let key = *self.by_permit.get(&permit)?;
         let stream = self.streams.get_mut(key)?;
-        stream.longest_ms = stream.longest_ms.max(u32::from(gaps.longest_ms));
+        stream.longest_pause_ms = stream.longest_pause_ms.max(u32::from(gaps.longest_ms));
         let target = stream.target;
         if self.settings.learns_pace && self.pace_book.is_due(now_ms) {
             let engines = self.engines.iter().map(|ledger| &ledger.pace);
--- a/components/policy/src/pace/shown.rs
+++ b/components/policy/src/pace/shown.rs
@@ -56,11 +56,11 @@
     pub fn pause_foretold(&self, permit: PermitId) -> Option<PauseForetold> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         let goal_ms = stream.pause_goal_ms;
-        (stream.longest_ms > 0).then_some(PauseForetold {
+        (stream.longest_pause_ms > 0).then_some(PauseForetold {
             target: stream.target,
-            foretold_ms: stream.foretold_ms?,
-            seen_ms: stream.longest_ms,
-            is_too_long: goal_ms.is_some_and(|goal_ms| stream.longest_ms > goal_ms),
+            foretold_ms: stream.predicted_pause_ms?,
+            seen_ms: stream.longest_pause_ms,
+            is_too_long: goal_ms.is_some_and(|goal_ms| stream.longest_pause_ms > goal_ms),
         })
     }
 
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -58,7 +58,10 @@
         };
         let mut best: Option<(f64, TargetId)> = None;
         let mut nearest: Vec<(f64, TargetId)> = Vec::new();
-        for slot in self.engines.candidates(demand.near, now_ms) {
+        for slot in self
+            .engines
+            .candidates(demand.preferred_data_centre, now_ms)
+        {
             let Some(ledger) = self.engines.slot_mut(slot) else {
                 continue;
             };
@@ -78,7 +81,7 @@
                 let tokens = tokens.min(self.settings.affinity_tokens);
                 self.prefixes.confidence(ledger.info.id, prefix, now_ms) * f64::from(tokens)
             });
-            let is_near = demand.near == Some(ledger.info.data_centre);
+            let is_near = demand.preferred_data_centre == Some(ledger.info.data_centre);
             let locality_bonus =
                 f64::from(u8::from(is_near)) * f64::from(self.settings.near_tokens);
             let prefill_cost = prefill_cost_tokens(ledger, &self.prefill_rate, &view);
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -79,33 +79,33 @@
     /// Upper limit of generated tokens.
     pub max_tokens: u32,
     /// The true answer length, known only under the oracle policy.
-    pub told_tokens: Option<u32>,
+    pub oracle_tokens: Option<u32>,
     /// Longest acceptable pause between two events, in milliseconds; `None` if any pause is
     /// acceptable.
     pub pause_goal_ms: Option<u32>,
     /// Longest reported pause so far, in milliseconds.
-    pub longest_ms: u32,
+    pub longest_pause_ms: u32,
     /// Expected number of generated tokens at placement.
     pub expected_tokens: f32,
     /// Longest pause predicted at placement, in milliseconds.
-    pub foretold_ms: Option<u32>,
+    pub predicted_pause_ms: Option<u32>,
 }
 
 impl Stream {
     /// The box that serves its caller.
-    pub fn entry(&self) -> BoxId {
+    pub fn entry_box(&self) -> BoxId {
         self.permit.entry
     }
 
     /// The pause goal if it can still be met; `None` without a goal or after a longer pause.
-    pub fn goal_left_ms(&self) -> Option<u32> {
+    pub fn attainable_pause_goal_ms(&self) -> Option<u32> {
         self.pause_goal_ms
-            .filter(|goal_ms| self.longest_ms <= *goal_ms)
+            .filter(|goal_ms| self.longest_pause_ms <= *goal_ms)
     }
 
     /// Expected tokens still to generate. A stream that exceeds its expected length is assumed to
     /// continue.
-    pub fn rest_tokens(&self) -> f64 {
+    pub fn remaining_tokens(&self) -> f64 {
         let expected = f64::from(self.expected_tokens);
         let remaining = expected - f64::from(self.generated_tokens);
         remaining.max(expected * REMAINDER_MIN_SHARE)
@@ -118,12 +118,12 @@
         generated: f64,
     ) -> impl Fn(f64) -> f64 + use<'a> {
         let survivor = lengths.survivor(self.class, generated);
-        let (max_tokens, told_tokens) = (f64::from(self.max_tokens), self.told_tokens);
+        let (max_tokens, oracle_tokens) = (f64::from(self.max_tokens), self.oracle_tokens);
         move |more| {
             if generated + more >= max_tokens {
                 return 0.0;
             }
-            match told_tokens {
+            match oracle_tokens {
                 Some(told) => f64::from(u8::from(generated + more < f64::from(told))),
                 None => survivor.share(more),
             }
--- a/components/policy/src/placement/length.rs
+++ b/components/policy/src/placement/length.rs
@@ -41,7 +41,7 @@
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum StreamEnd {
     /// The model finished its answer.
     Finished,
     /// It was cancelled, truncated or lost, and would have been longer.
@@ -240,16 +240,16 @@
     }
 
     /// Records that an answer of `class` ended at `tokens`.
-    pub fn ended(&mut self, class: LengthClass, tokens: u32, end: End) {
+    pub fn ended(&mut self, class: LengthClass, tokens: u32, end: StreamEnd) {
         let bin = bin_of(f64::from(tokens.max(1)));
         let bins = self.classes.entry(class).or_insert_with(Bins::new);
         for bins in [bins, &mut self.pool] {
             match end {
-                End::Finished => {
+                StreamEnd::Finished => {
                     bins.add_reached(bin, 1.0);
                     bins.end(bin);
                 }
-                End::Censored => bins.add_reached(bin, 0.5),
+                StreamEnd::Censored => bins.add_reached(bin, 0.5),
             }
             bins.decay();
         }
--- a/components/policy/src/placement/length_tests.rs
+++ b/components/policy/src/placement/length_tests.rs
@@ -14,8 +14,8 @@
     for _ in 0..count {
         let length = (-mean * rng.random::<f64>().max(1e-9).ln()).ceil() as u32;
         let (tokens, end) = match cut {
-            Some(cut) if length > cut => (cut, End::Censored),
-            _ => (length, End::Finished),
+            Some(cut) if length > cut => (cut, StreamEnd::Censored),
+            _ => (length, StreamEnd::Finished),
         };
         model.grew(class, 0, tokens);
         model.ended(class, tokens, end);
@@ -46,7 +46,7 @@
     for _ in 0..500 {
         model.grew(CLASS, 0, 400);
     }
-    model.ended(CLASS, 1, End::Finished);
+    model.ended(CLASS, 1, StreamEnd::Finished);
     assert!(model.survival(CLASS, 0.0, 200.0) > before + 0.2);
 }
 
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -49,8 +49,8 @@
         let (prompt_tokens, generated_tokens) = (stream.prompt_tokens, stream.generated_tokens);
         let used_tokens = f64::from(stream.prompt_tokens) + f64::from(stream.generated_tokens);
         let generated = f64::from(stream.generated_tokens);
-        let goal_ms = stream.goal_left_ms();
-        let rest_tokens = stream.rest_tokens();
+        let goal_ms = stream.attainable_pause_goal_ms();
+        let rest_tokens = stream.remaining_tokens();
         let mut forecast = Forecast::default();
         forecast.add(used_tokens, stream.survival(&self.lengths, generated));
         let data_centre = self.data_centre_of(from);
--- a/components/policy/src/placement/relocate_tests.rs
+++ b/components/policy/src/placement/relocate_tests.rs
@@ -1,6 +1,6 @@
 use crate::placement::ledger::EngineInfo;
 use crate::pool::Pool;
-use crate::{Adopted, Demand, LengthClass, PoolSettings, Relocation, Share};
+use crate::{Demand, LengthClass, PoolSettings, Relocation, RunningStream, Share};
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 
 const FROM: TargetId = TargetId(1);
@@ -13,7 +13,7 @@
 };
 
 /// A running generation with a prompt of the given length.
-fn running_stream(serial: u64, target: TargetId, prompt_tokens: u32) -> Adopted {
+fn running_stream(serial: u64, target: TargetId, prompt_tokens: u32) -> RunningStream {
     let demand = Demand {
         permit: PermitId { serial, ..PERMIT },
         share: Share {
@@ -29,15 +29,15 @@
         max_tokens: 1_000,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: 1_000,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     };
-    Adopted {
+    RunningStream {
         demand,
         target,
         generated_tokens: 100,
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -5,7 +5,7 @@
 use crate::admission::grant_pace::GrantPace;
 use crate::admission::outlook::{Need, Outlook};
 use crate::admission::queue::Queue;
-use crate::demand::{Demand, RANKS, Submitted, Verdict};
+use crate::demand::{Demand, RANK_COUNT, SubmitOutcome, Verdict};
 use crate::fairness::told::KnownBoxes;
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
@@ -13,7 +13,7 @@
 use crate::placement::engine_set::EngineSet;
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineLedger, Stream, StreamKey, Streams};
-use crate::placement::length::{End, LengthModel};
+use crate::placement::length::{LengthModel, StreamEnd};
 use crate::placement::prefill::PrefillRate;
 use crate::placement::prefixes::PrefixIndex;
 use crate::settings::{PolicyKind, PoolSettings};
@@ -53,7 +53,7 @@
     pub(crate) grants: VecDeque<u64>,
     pub(crate) pace: GrantPace,
     /// The grant rate of each rank.
-    pub(crate) paces: [GrantPace; RANKS],
+    pub(crate) paces: [GrantPace; RANK_COUNT],
     /// When the first request arrived. Grants wait for the engines' first reports for a limited
     /// time after it.
     pub(crate) began_ms: Option<u64>,
@@ -88,7 +88,7 @@
             now_ms: 0,
             grants: VecDeque::new(),
             pace: GrantPace::default(),
-            paces: [GrantPace::default(); RANKS],
+            paces: [GrantPace::default(); RANK_COUNT],
             began_ms: None,
             expiry_ms: 0,
             own_tokens_recorded_ms: 0,
@@ -101,24 +101,29 @@
     }
 
     /// Queues a request, or refuses it if it would wait beyond its deadline.
-    pub fn submit(&mut self, demand: Demand, now_ms: u64) -> Submitted {
+    pub fn submit(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
         self.enqueue(demand, false, now_ms)
     }
 
     /// Queues a request that was queued before, at another dispatcher or until its grant did not
     /// reach its box. It is not refused now, as this dispatcher may know less about answer lengths
     /// and the grant rate: it waits until it is granted or expires.
-    pub fn submit_again(&mut self, demand: Demand, now_ms: u64) -> Submitted {
+    pub fn submit_again(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
         self.enqueue(demand, true, now_ms)
     }
 
-    fn enqueue(&mut self, mut demand: Demand, was_queued_before: bool, now_ms: u64) -> Submitted {
+    fn enqueue(
+        &mut self,
+        mut demand: Demand,
+        was_queued_before: bool,
+        now_ms: u64,
+    ) -> SubmitOutcome {
         self.now_ms = self.now_ms.max(now_ms);
         self.heard_ms.insert(demand.permit.entry, now_ms);
         self.known.heard(demand.permit.entry, now_ms);
         self.tree.pass(now_ms);
         if self.by_permit.contains_key(&demand.permit) || self.queue.contains(demand.permit) {
-            return Submitted::Waits { place: 0 };
+            return SubmitOutcome::Queued { position: 0 };
         }
         if !self.settings.ranks {
             demand.rank = demand.rank.min(1);
@@ -132,16 +137,16 @@
                 self.tree.others_wait(now_ms);
             }
             self.usage.refused(&demand);
-            return Submitted::Refused(refusal);
+            return SubmitOutcome::Refused(refusal);
         }
-        let place = self.queue.len() as u32;
+        let position = self.queue.len() as u32;
         // Records the time before this arrival first: without a queue it says nothing about the
         // grant rate.
         self.record_queued_ranks(now_ms);
         self.tree.waits(&demand.share);
         let begins_by_ms = self.waits_until_ms(&demand);
         self.queue.push(demand, begins_by_ms, need);
-        Submitted::Waits { place }
+        SubmitOutcome::Queued { position }
     }
 
     /// Removes a queued request, or releases its permit if it was granted meanwhile.
@@ -150,7 +155,7 @@
             self.outlook.errors.left(permit);
             self.tree.leaves(&demand.share);
         } else {
-            self.release(permit, 0, End::Censored);
+            self.release(permit, 0, StreamEnd::Censored);
         }
     }
 
@@ -225,7 +230,7 @@
 
     fn grant(&mut self, demand: Demand, target: TargetId, now_ms: u64) {
         self.pace.granted();
-        self.paces[usize::from(demand.rank_in_use())].granted();
+        self.paces[usize::from(demand.clamped_rank())].granted();
         self.grants.push_back(now_ms);
         while self
             .grants
@@ -265,11 +270,11 @@
             generated_tokens,
             progress_ms: now_ms,
             max_tokens: demand.max_tokens,
-            told_tokens: oracle_tokens(&demand, self.settings.policy),
+            oracle_tokens: oracle_tokens(&demand, self.settings.policy),
             pause_goal_ms: demand.pause_goal_ms,
-            longest_ms: 0,
+            longest_pause_ms: 0,
             expected_tokens: self.expected_tokens(&demand) as f32,
-            foretold_ms: self.foretold_ms(&demand, target, now_ms),
+            predicted_pause_ms: self.foretold_ms(&demand, target, now_ms),
         };
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
         let used_tokens = f64::from(prompt_tokens + generated_tokens);
@@ -314,7 +319,9 @@
 }
 
 fn oracle_tokens(demand: &Demand, policy: PolicyKind) -> Option<u32> {
-    demand.told_tokens.filter(|_| policy == PolicyKind::Oracle)
+    demand
+        .oracle_tokens
+        .filter(|_| policy == PolicyKind::Oracle)
 }
 
 pub(crate) fn demand_forecast(
--- a/components/policy/src/pool_size_tests.rs
+++ b/components/policy/src/pool_size_tests.rs
@@ -32,10 +32,10 @@
 fn demand(serial: u64) -> Demand {
     let now_ms = serial * ARRIVAL_INTERVAL_MS;
     Demand {
-        near: Some(DataCentreId(serial % DATA_CENTRES)),
-        since_ms: now_ms,
+        preferred_data_centre: Some(DataCentreId(serial % DATA_CENTRES)),
+        arrived_ms: now_ms,
         deadline_ms: now_ms + 1_500,
-        leaves_ms: now_ms + 6_000,
+        caller_deadline_ms: now_ms + 6_000,
         ..test_demands::demand(serial, serial % 24, 0)
     }
 }
@@ -45,14 +45,14 @@
     let now_ms = serial * ARRIVAL_INTERVAL_MS;
     assert_eq!(
         pool.submit(demand(serial), now_ms),
-        Submitted::Waits { place: 0 }
+        SubmitOutcome::Queued { position: 0 }
     );
     assert_eq!(pool.run(now_ms).len(), 1);
     if let Some(prefilled) = serial.checked_sub(20) {
         pool.progress(demand(prefilled).permit, 1, now_ms);
     }
     if let Some(ended) = serial.checked_sub(DURATION_MS / ARRIVAL_INTERVAL_MS) {
-        pool.release(demand(ended).permit, 300, End::Finished);
+        pool.release(demand(ended).permit, 300, StreamEnd::Finished);
     }
 }
 
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::demand::Adopted;
+use crate::demand::RunningStream;
 use crate::fairness::tree::Share;
 use crate::holders::BOX_TIMEOUT_MS;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState};
@@ -56,13 +56,13 @@
         max_tokens: 1000,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: 1000,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -90,7 +90,7 @@
         pool.submit(demand(serial, 1, 1000), 0);
     }
     assert_eq!(granted(&pool.run(0)).len(), 1);
-    pool.release(permit(1), 10, End::Finished);
+    pool.release(permit(1), 10, StreamEnd::Finished);
     assert_eq!(granted(&pool.run(1)).len(), 1);
 }
 
@@ -122,7 +122,7 @@
         .filter(|id| pool.streams[pool.by_permit[id]].target == reserved)
         .collect();
     assert_eq!(on_reserved.len(), 1);
-    pool.release(on_reserved[0], 10, End::Finished);
+    pool.release(on_reserved[0], 10, StreamEnd::Finished);
     assert_eq!(granted(&pool.run(late_ms + 1)), [(3, reserved)]);
 }
 
@@ -163,7 +163,7 @@
     pool.run(0);
     assert!(matches!(
         pool.submit(demand(2, 1, 1000), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
     let verdicts = pool.run(1000);
     let Verdict::Refused(refusal) = verdicts[0].1 else {
@@ -180,14 +180,17 @@
     for serial in 0..100 {
         let now_ms = serial * 100;
         let mut next = demand(serial, 1, 1000);
-        next.since_ms = now_ms;
+        next.arrived_ms = now_ms;
         next.deadline_ms = now_ms + 1000;
-        refused += usize::from(matches!(pool.submit(next, now_ms), Submitted::Refused(_)));
+        refused += usize::from(matches!(
+            pool.submit(next, now_ms),
+            SubmitOutcome::Refused(_)
+        ));
         pool.run(now_ms);
         if serial % 5 == 4 {
             let held: Vec<PermitId> = pool.by_permit.keys().copied().collect();
             held.into_iter()
-                .for_each(|permit| pool.release(permit, 5, End::Finished));
+                .for_each(|permit| pool.release(permit, 5, StreamEnd::Finished));
         }
     }
     assert!(refused > 20, "{refused}");
@@ -196,7 +199,7 @@
 #[test]
 fn refuses_a_prompt_that_fits_no_engine() {
     let mut pool = pool(&[(ENGINE, 1500)]);
-    let Submitted::Refused(refusal) = pool.submit(demand(1, 1, 2000), 0) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(demand(1, 1, 2000), 0) else {
         panic!();
     };
     assert_eq!(refusal.reason, RefusalReason::TooLarge);
@@ -208,7 +211,7 @@
     pool.set_state(ENGINE, EngineState::Leaving);
     assert!(matches!(
         pool.submit(demand(1, 1, 10), 0),
-        Submitted::Refused(_)
+        SubmitOutcome::Refused(_)
     ));
 }
 
@@ -247,7 +250,7 @@
 fn progress_of_an_unknown_permit_is_rejected_until_the_stream_is_adopted() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     assert!(!pool.progress(permit(1), 5, 0));
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, 1, 100),
         target: ENGINE,
         generated_tokens: 5,
@@ -277,7 +280,7 @@
                 serial += 1;
                 let mut next = demand(serial, owner, 500);
                 next.deadline_ms = u64::MAX;
-                next.since_ms = round;
+                next.arrived_ms = round;
                 pool.submit(next, round);
             }
         }
@@ -287,7 +290,7 @@
         {
             let owner = pool.streams[pool.by_permit[&permit]].share.owner;
             *served.entry(owner).or_default() += 1;
-            pool.release(permit, 100, End::Finished);
+            pool.release(permit, 100, StreamEnd::Finished);
         }
     }
     let (heavy, light) = (served[&OwnerId(1)], served[&OwnerId(2)]);
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -1,7 +1,7 @@
 //! Streams that hold permits: their progress and their end.
 
 use crate::placement::ledger::StreamKey;
-use crate::placement::length::{End, LengthClass};
+use crate::placement::length::{LengthClass, StreamEnd};
 use crate::pool::Pool;
 use prelude::{BoxId, PermitId, TargetId};
 
@@ -49,14 +49,14 @@
     }
 
     /// Ends a stream and frees its memory.
-    pub fn release(&mut self, permit: PermitId, tokens: u32, end: End) {
+    pub fn release(&mut self, permit: PermitId, tokens: u32, end: StreamEnd) {
         let Some(key) = self.by_permit.remove(&permit) else {
             return;
         };
         let Some(stream) = self.streams.remove(key) else {
             return;
         };
-        self.decrement_box_streams(stream.entry());
+        self.decrement_box_streams(stream.entry_box());
         let previous_tokens = stream.generated_tokens;
         let tokens = tokens.max(previous_tokens);
         let now_ms = self.now_ms;
@@ -90,7 +90,7 @@
         class: LengthClass,
         previous_tokens: u32,
         tokens: u32,
-        end: Option<End>,
+        end: Option<StreamEnd>,
     ) {
         if !self.settings.learns_lengths {
             return;
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -5,8 +5,8 @@
 use crate::state::Relay;
 use peers::{AcquireRequest, AdoptedStream, OpenStreams, PermitReply, UpdateReply, UpdateRequest};
 use policy::{
-    Adopted, Demand, End, LengthClass, Pool, PoolSettings, PrefillPolicy, Submitted, Turns,
-    Verdict, WaitingPolicy,
+    Demand, LengthClass, Pool, PoolSettings, PrefillPolicy, RunningStream, StreamEnd,
+    SubmitOutcome, Turns, Verdict, WaitingPolicy,
 };
 use prelude::{
     BoxId, DataCentreId, PermitId, PoolId, Refusal, RefusalReason, TargetId, TargetIncarnation,
@@ -138,7 +138,7 @@
             }
             if waiting.asker.send(verdict).is_err() {
                 // Whoever asked has left: the permit is free again.
-                self.pool.release(permit, 0, End::Censored);
+                self.pool.release(permit, 0, StreamEnd::Censored);
             }
         }
     }
@@ -197,13 +197,13 @@
             max_tokens: request.max_tokens,
             rank: request.rank,
             pause_goal_ms: request.pause_goal_ms,
-            since_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
+            arrived_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
             deadline_ms: now_ms + u64::from(request.wait_left_ms),
-            leaves_ms: now_ms + u64::from(request.caller_left_ms),
+            caller_deadline_ms: now_ms + u64::from(request.caller_left_ms),
             prefix: request.prefix,
-            told_tokens: request.told_tokens,
+            oracle_tokens: request.told_tokens,
             avoid: request.avoid,
-            near: Some(self.data_centre_of(request.permit.entry)),
+            preferred_data_centre: Some(self.data_centre_of(request.permit.entry)),
         }
     }
 
@@ -224,7 +224,7 @@
             let waiting = Waiting {
                 asker,
                 rank: demand.rank,
-                since_ms: demand.since_ms,
+                since_ms: demand.arrived_ms,
             };
             dispatcher.waiting.insert(request.permit, waiting);
             // It is asked with a time to wait once a dispatcher let it wait.
@@ -233,11 +233,11 @@
                 false => dispatcher.pool.submit(demand.clone(), now_ms),
             };
             match taken {
-                Submitted::Refused(refusal) => {
+                SubmitOutcome::Refused(refusal) => {
                     dispatcher.waiting.remove(&request.permit);
                     Some(dispatcher.refused(refusal, &demand))
                 }
-                Submitted::Waits { .. } => {
+                SubmitOutcome::Queued { .. } => {
                     dispatcher.decide(now_ms);
                     None
                 }
@@ -290,8 +290,8 @@
             }
             for ended in &request.ended {
                 let end = match ended.finished {
-                    true => End::Finished,
-                    false => End::Censored,
+                    true => StreamEnd::Finished,
+                    false => StreamEnd::Censored,
                 };
                 self.gaps_told(pool, permit(ended.serial), &ended.gaps, now_ms);
                 self.note_pause(pool, permit(ended.serial), now_ms);
@@ -327,7 +327,7 @@
             let says_again = was_away && dispatcher.dispatched_elsewhere(now_ms);
             dispatcher.pool.keep_only(from, &kept, now_ms);
             for (demand, stream) in demands {
-                let adopted = Adopted {
+                let adopted = RunningStream {
                     demand,
                     target: stream.target,
                     generated_tokens: stream.tokens,
--- a/components/replay/src/serving.rs
+++ b/components/replay/src/serving.rs
@@ -4,7 +4,7 @@
 use crate::figures::is_early;
 use crate::request::Phase;
 use crate::world::{Occasion, World};
-use policy::{Demand, End, LengthClass, Share, Submitted, Verdict, WaitingPolicy};
+use policy::{Demand, LengthClass, Share, StreamEnd, SubmitOutcome, Verdict, WaitingPolicy};
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, Refusal};
 
 /// What a box takes for the way of a first token where its time is forecast.
@@ -51,13 +51,13 @@
             max_tokens: kind.answer_tokens.most,
             rank: kind.rank,
             pause_goal_ms: None,
-            since_ms: now_ms,
+            arrived_ms: now_ms,
             deadline_ms: first_due_ms.max(now_ms + kind.goal_ms / 10),
-            leaves_ms: request.at_ms + kind.stay_ms,
+            caller_deadline_ms: request.at_ms + kind.stay_ms,
             prefix: None,
-            told_tokens: None,
+            oracle_tokens: None,
             avoid: Avoided::default(),
-            near: Some(DataCentreId(u64::from(request.data_centre))),
+            preferred_data_centre: Some(DataCentreId(u64::from(request.data_centre))),
         }
     }
 
@@ -75,8 +75,8 @@
         self.by_permit.insert(permit, at);
         let demand = self.demand(at);
         match self.pool.submit(demand, now_ms) {
-            Submitted::Refused(refusal) => self.refused(at, refusal),
-            Submitted::Waits { .. } => self.decide(),
+            SubmitOutcome::Refused(refusal) => self.refused(at, refusal),
+            SubmitOutcome::Queued { .. } => self.decide(),
         }
     }
 
@@ -219,7 +219,7 @@
         let now_ms = self.now_ms();
         self.pool.progress(permit, tokens, now_ms);
         if ended {
-            self.pool.release(permit, tokens, End::Finished);
+            self.pool.release(permit, tokens, StreamEnd::Finished);
         }
         self.decide();
     }
@@ -228,6 +228,6 @@
         self.stories[at].phase = Phase::Lost;
         let story = &self.stories[at];
         self.pool
-            .release(story.permit, story.told_tokens, End::Censored);
+            .release(story.permit, story.told_tokens, StreamEnd::Censored);
     }
 }
