--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -15,7 +15,7 @@
 impl Pool {
     /// Why a request that just came must be refused, if it must.
     pub(crate) fn refusal(&mut self, demand: &Demand, need: &Need, now_ms: u64) -> Option<Refusal> {
-        let Some(largest) = self.engines.largest_tokens() else {
+        let Some(largest) = self.engines.largest_live_tokens() else {
             return Some(Refusal {
                 reason: RefusalReason::NoTarget,
                 retry_after_ms: Some(1000),
--- a/components/policy/src/admission/room_ahead.rs
+++ b/components/policy/src/admission/room_ahead.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::outlook::Need;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
-use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
+use crate::placement::ledger::{EngineLedger, EngineState, ForecastContext};
 
 /// Points in time that are looked at.
 pub(crate) const HORIZONS: usize = HORIZONS_TOKENS.len();
@@ -37,7 +37,7 @@
     pub fn look<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a mut EngineLedger>,
-        view: &RoomView<'_>,
+        view: &ForecastContext<'_>,
         usual_tokens: f64,
     ) {
         let pace = view.tokens_per_ms.max(f64::MIN_POSITIVE);
@@ -45,11 +45,11 @@
         self.at_ms = HORIZONS_TOKENS.map(|tokens| f64::from(tokens) / pace);
         self.looked_ms = Some(view.now_ms);
         for ledger in engines {
-            let takes = ledger.state == EngineState::Live && ledger.bears_one_more(view.now_ms);
+            let takes = ledger.state == EngineState::Live && ledger.within_rate_limits(view.now_ms);
             if !takes {
                 continue;
             }
-            let free = ledger.free_ahead(view);
+            let free = ledger.free_tokens_by_horizon(view);
             for (sum, free) in self.free_tokens.iter_mut().zip(free) {
                 *sum += if free >= usual_tokens { free } else { 0.0 };
             }
--- a/components/policy/src/admission/room_ahead_tests.rs
+++ b/components/policy/src/admission/room_ahead_tests.rs
@@ -78,7 +78,7 @@
         memory_share: 1.0,
         ..PoolSettings::default()
     };
-    let view = RoomView {
+    let view = ForecastContext {
         streams: &streams,
         lengths: &lengths,
         settings: &settings,
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/waiting.rs
@@ -14,7 +14,7 @@
 use crate::admission::outlook::{Before, Need};
 use crate::admission::returning::Returning;
 use crate::demand::{Demand, Verdict};
-use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
+use crate::placement::ledger::{EngineLedger, EngineState, ForecastContext};
 use crate::pool::Pool;
 use prelude::{PermitId, Refusal, RefusalReason};
 
@@ -50,7 +50,7 @@
             return;
         }
         let usual_tokens = self.outlook.coming.usual_tokens(now_ms);
-        let view = RoomView {
+        let view = ForecastContext {
             streams: &self.streams,
             lengths: &self.lengths,
             settings: &self.settings,
@@ -242,7 +242,7 @@
 
     fn run_forward(&self, now_ms: u64) -> ForwardRun {
         let takes = |ledger: &&EngineLedger| {
-            ledger.state == EngineState::Live && ledger.bears_one_more(now_ms)
+            ledger.state == EngineState::Live && ledger.within_rate_limits(now_ms)
         };
         let reader = |ledger: &EngineLedger| Reader {
             left_ms: ledger.prefill.remaining_ms(&self.prefill_rate, now_ms),
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -33,7 +33,7 @@
     /// Replaces the list of engines. Engines that remain keep their ledgers.
     pub fn set_engines(&mut self, engines: &[EngineInfo]) {
         for info in engines {
-            self.engines.set(*info);
+            self.engines.upsert(*info);
         }
         let kept: HashSet<TargetId> = engines.iter().map(|info| info.id).collect();
         let ids = self.engines.iter().map(|ledger| ledger.info.id);
@@ -46,7 +46,7 @@
 
     /// Adds or updates one engine and sets its state.
     pub fn set_engine(&mut self, info: EngineInfo, state: EngineState) {
-        self.engines.set(info);
+        self.engines.upsert(info);
         self.set_state(info.id, state);
         self.sync_capacity();
     }
@@ -100,7 +100,7 @@
         let Some(ledger) = self.engine_mut(target) else {
             return;
         };
-        let preemptions = ledger.reported(report, lag_ms, now_ms);
+        let preemptions = ledger.apply_report(report, lag_ms, now_ms);
         // Several preemptions at once have one cause, such as two dispatchers filling the same
         // engine. The margin only covers errors of the forecast.
         let counted = preemptions.min(PREEMPTIONS_PER_REPORT_MAX);
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -39,7 +39,7 @@
 pub use pace::steps::Load as PaceLoad;
 pub use placement::forecast::{Forecast, HORIZONS_TOKENS};
 pub use placement::ledger::{EngineInfo, EngineLedger, EngineReport, EngineState, Stream};
-pub use placement::length::{LengthClass, LengthModel, StreamEnd, Survivor};
+pub use placement::length::{ConditionalSurvival, LengthClass, LengthModel, StreamEnd};
 pub use placement::links::Turns;
 pub use placement::local::{LocalPool, LocalTarget};
 pub use placement::prefixes::PrefixIndex;
--- a/components/policy/src/pace/felt.rs
+++ b/components/policy/src/pace/felt.rs
@@ -105,12 +105,12 @@
 
 /// Tokens that an answer is expected to have.
 pub(crate) fn expected_tokens(lengths: &LengthModel, demand: &Demand) -> f64 {
-    let survivor = lengths.survivor(demand.class, 0.0);
+    let survivor = lengths.conditional_survival(demand.class, 0.0);
     let mut from = 0.0;
     let mut expected = 0.0;
     for horizon in HORIZONS_TOKENS {
         let to = f64::from(horizon.min(demand.max_tokens));
-        expected += (to - from).max(0.0) * survivor.share((from + to) / 2.0);
+        expected += (to - from).max(0.0) * survivor.probability((from + to) / 2.0);
         from = to;
     }
     expected.max(1.0)
--- a/components/policy/src/pace/shown.rs
+++ b/components/policy/src/pace/shown.rs
@@ -100,10 +100,10 @@
     if ledger.state != EngineState::Live {
         return Some("it takes no new work".into());
     }
-    if !ledger.bears_one_more(now_ms) {
+    if !ledger.within_rate_limits(now_ms) {
         return Some("it is cold and has what it bears".into());
     }
-    if ledger.is_backed_up(now_ms) {
+    if ledger.has_memory_backlog(now_ms) {
         return Some("requests wait there for memory".into());
     }
     let is_spared = long_pauses >= SPARED;
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -3,7 +3,7 @@
 use crate::admission::queue::Place;
 use crate::demand::Demand;
 use crate::pace::felt::{PauseView, Pausing, expected_tokens};
-use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
+use crate::placement::ledger::{EngineLedger, EngineState, ForecastContext};
 use crate::placement::prefill::PrefillRate;
 use crate::pool::{Pool, demand_forecast};
 use crate::settings::PrefillPolicy;
@@ -29,13 +29,13 @@
         let Some(demand) = self.queue.front(queue_key) else {
             return EngineChoice::default();
         };
-        let new = demand_forecast(&self.lengths, demand, self.settings.policy);
+        let forecast = demand_forecast(&self.lengths, demand, self.settings.policy);
         let margin = self.margin_in_use();
         let began_ms = *self.began_ms.get_or_insert(now_ms);
         // Before an engine's first report the dispatcher does not know what runs there and could
         // fill it twice.
         let needs_report = now_ms < began_ms + self.settings.first_report_ms;
-        let view = RoomView {
+        let context = ForecastContext {
             streams: &self.streams,
             lengths: &self.lengths,
             settings: &self.settings,
@@ -65,16 +65,16 @@
             let Some(ledger) = self.engines.slot_mut(slot) else {
                 continue;
             };
-            let limit = self.settings.running_limit as usize;
-            let at_limit = limit > 0 && ledger.streams.len() >= limit;
+            let running_max = self.settings.running_limit as usize;
+            let is_at_limit = running_max > 0 && ledger.streams.len() >= running_max;
             let is_eligible = ledger.state == EngineState::Live
                 && !reserved.contains(&ledger.info.id)
                 && (ledger.report.is_some() || !needs_report)
                 && !demand.avoid.contains(ledger.info.id)
-                && !at_limit
-                && ledger.bears_one_more(now_ms)
-                && !ledger.is_backed_up(now_ms);
-            if !is_eligible || !accepts_prefill(ledger, &self.prefill_rate, demand, &view) {
+                && !is_at_limit
+                && ledger.within_rate_limits(now_ms)
+                && !ledger.has_memory_backlog(now_ms);
+            if !is_eligible || !accepts_prefill(ledger, &self.prefill_rate, demand, &context) {
                 continue;
             }
             let affinity = demand.prefix.map_or(0.0, |(prefix, tokens)| {
@@ -84,7 +84,7 @@
             let is_near = demand.preferred_data_centre == Some(ledger.info.data_centre);
             let locality_bonus =
                 f64::from(u8::from(is_near)) * f64::from(self.settings.near_tokens);
-            let prefill_cost = prefill_cost_tokens(ledger, &self.prefill_rate, &view);
+            let prefill_cost = prefill_cost_tokens(ledger, &self.prefill_rate, &context);
             let bonus_before_pauses = affinity + locality_bonus - prefill_cost;
             // The memory forecast is most of the cost of a decision. It is skipped for an engine
             // that would lose even if its memory were empty.
@@ -98,7 +98,7 @@
             if is_beaten(capacity_tokens + bonus) {
                 continue;
             }
-            let free = ledger.room_left(&view, &new);
+            let free = ledger.free_tokens(&context, &forecast);
             let is_idle = ledger.streams.is_empty() && ledger.foreign_tokens == 0.0;
             if free < 0.0 && !is_idle {
                 nearest.push((free, ledger.info.id));
@@ -139,9 +139,9 @@
     ledger: &EngineLedger,
     rate: &PrefillRate,
     demand: &Demand,
-    view: &RoomView<'_>,
+    context: &ForecastContext<'_>,
 ) -> bool {
-    let (settings, prefill) = (view.settings, &ledger.prefill);
+    let (settings, prefill) = (context.settings, &ledger.prefill);
     if prefill.is_idle() {
         return true;
     }
@@ -151,18 +151,22 @@
             total <= u64::from(settings.prefill_tokens)
         }
         PrefillPolicy::FirstToken => {
-            prefill.remaining_ms(rate, view.now_ms) <= f64::from(settings.prefill_ahead_ms)
+            prefill.remaining_ms(rate, context.now_ms) <= f64::from(settings.prefill_ahead_ms)
         }
     }
 }
 
 /// Cost of an engine's pending prefill, in tokens of memory.
-fn prefill_cost_tokens(ledger: &EngineLedger, rate: &PrefillRate, view: &RoomView<'_>) -> f64 {
-    match view.settings.prefill {
+fn prefill_cost_tokens(
+    ledger: &EngineLedger,
+    rate: &PrefillRate,
+    context: &ForecastContext<'_>,
+) -> f64 {
+    match context.settings.prefill {
         PrefillPolicy::Bound => 0.0,
         PrefillPolicy::FirstToken => {
-            let remaining_ms = ledger.prefill.remaining_ms(rate, view.now_ms);
-            remaining_ms * f64::from(view.settings.prefill_cost_tokens_per_ms)
+            let remaining_ms = ledger.prefill.remaining_ms(rate, context.now_ms);
+            remaining_ms * f64::from(context.settings.prefill_cost_tokens_per_ms)
         }
     }
 }
--- a/components/policy/src/placement/engine_set.rs
+++ b/components/policy/src/placement/engine_set.rs
@@ -83,7 +83,7 @@
     }
 
     /// Memory of the largest engine that takes work, in tokens; `None` if none does.
-    pub fn largest_tokens(&self) -> Option<u64> {
+    pub fn largest_live_tokens(&self) -> Option<u64> {
         self.live.by_capacity.keys().next_back().copied()
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Inserts an engine or updates its info.
-    pub fn set(&mut self, info: EngineInfo) {
+    pub fn upsert(&mut self, info: EngineInfo) {
         let slot = *self.by_id.entry(info.id).or_insert_with(|| {
             self.next += 1;
             EngineSlot(self.next)
@@ -181,9 +181,9 @@
         let slot = *self.by_id.get(&target)?;
         self.update(slot, |ledger| {
             if ledger.streams.is_empty() {
-                ledger.remember(0.0, now_ms);
+                ledger.record_own_tokens(0.0, now_ms);
             }
-            ledger.add(key, forecast);
+            ledger.add_stream(key, forecast);
         });
         self.slot_mut(slot)
     }
@@ -195,9 +195,9 @@
         };
         self.count_checks(1);
         self.update(slot, |ledger| {
-            ledger.remove(key, now_ms);
+            ledger.remove_stream(key, now_ms);
             if ledger.streams.is_empty() {
-                ledger.remember(0.0, now_ms);
+                ledger.record_own_tokens(0.0, now_ms);
             }
         });
     }
@@ -211,7 +211,7 @@
         }
         let mut candidates: BTreeSet<EngineSlot> = BTreeSet::new();
         let near_idle = near.and_then(|near| self.idle.get(&near));
-        let has_budget = |slot: &&EngineSlot| self.bears_one_more(**slot, now_ms);
+        let has_budget = |slot: &&EngineSlot| self.within_rate_limits(**slot, now_ms);
         if let Some(idle) = near_idle {
             let checked = idle.iter().take(NEAR_IDLE_MAX * IDLE_CHECKS_PER_CANDIDATE);
             candidates.extend(checked.filter(has_budget).take(NEAR_IDLE_MAX));
@@ -242,10 +242,10 @@
         next
     }
 
-    fn bears_one_more(&self, slot: EngineSlot, now_ms: u64) -> bool {
+    fn within_rate_limits(&self, slot: EngineSlot, now_ms: u64) -> bool {
         self.count_checks(1);
         let ledger = self.ledgers.get(&slot);
-        ledger.is_some_and(|ledger| ledger.bears_one_more(now_ms))
+        ledger.is_some_and(|ledger| ledger.within_rate_limits(now_ms))
     }
 
     /// Changes an engine and updates the indexes.
--- a/components/policy/src/placement/engine_set_tests.rs
+++ b/components/policy/src/placement/engine_set_tests.rs
@@ -15,7 +15,7 @@
 fn set(count: u64) -> EngineSet {
     let mut set = EngineSet::default();
     for id in 0..count {
-        set.set(info(id, id % 2));
+        set.upsert(info(id, id % 2));
     }
     set
 }
@@ -74,8 +74,8 @@
             cold_rate_per_s: Some(1.0),
             ..info(id, 0)
         };
-        set.set(cold);
-        set.get_mut(TargetId(id)).unwrap().placed(NOW_MS);
+        set.upsert(cold);
+        set.get_mut(TargetId(id)).unwrap().record_placement(NOW_MS);
     }
     set.cursor = EngineSlot(500);
     let candidates = ids(&mut set, 0);
@@ -85,10 +85,16 @@
 #[test]
 fn live_capacity_follows_engine_updates_and_removals() {
     let mut set = set(3);
-    assert_eq!((set.live_count(), set.largest_tokens()), (3, Some(1_002)));
+    assert_eq!(
+        (set.live_count(), set.largest_live_tokens()),
+        (3, Some(1_002))
+    );
     set.set_state(TargetId(2), EngineState::Leaving);
-    assert_eq!((set.live_count(), set.largest_tokens()), (2, Some(1_001)));
-    set.set(EngineInfo {
+    assert_eq!(
+        (set.live_count(), set.largest_live_tokens()),
+        (2, Some(1_001))
+    );
+    set.upsert(EngineInfo {
         capacity_tokens: 5_000,
         ..info(0, 1)
     });
--- a/components/policy/src/placement/forecast.rs
+++ b/components/policy/src/placement/forecast.rs
@@ -27,7 +27,7 @@
     }
 
     /// The sum of two forecasts.
-    pub fn plus(&self, other: &Forecast) -> Forecast {
+    pub fn combined(&self, other: &Forecast) -> Forecast {
         let mut sum = *self;
         for at in 0..HORIZONS_TOKENS.len() {
             sum.mean_tokens[at] += other.mean_tokens[at];
@@ -42,12 +42,12 @@
     }
 
     /// Memory use at each horizon, `margin` standard deviations above the mean.
-    pub fn tokens_with(&self, margin: f64) -> [f64; HORIZONS_TOKENS.len()] {
+    pub fn tokens_at_margin(&self, margin: f64) -> [f64; HORIZONS_TOKENS.len()] {
         std::array::from_fn(|at| self.mean_tokens[at] + margin * self.variance[at].sqrt())
     }
 
     /// Expected memory use at the first horizon.
-    pub fn now_tokens(&self) -> f64 {
+    pub fn current_tokens(&self) -> f64 {
         self.mean_tokens[0]
     }
 
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -117,15 +117,15 @@
         lengths: &'a LengthModel,
         generated: f64,
     ) -> impl Fn(f64) -> f64 + use<'a> {
-        let survivor = lengths.survivor(self.class, generated);
+        let survival = lengths.conditional_survival(self.class, generated);
         let (max_tokens, oracle_tokens) = (f64::from(self.max_tokens), self.oracle_tokens);
-        move |more| {
-            if generated + more >= max_tokens {
+        move |added| {
+            if generated + added >= max_tokens {
                 return 0.0;
             }
             match oracle_tokens {
-                Some(told) => f64::from(u8::from(generated + more < f64::from(told))),
-                None => survivor.share(more),
+                Some(told) => f64::from(u8::from(generated + added < f64::from(told))),
+                None => survival.probability(added),
             }
         }
     }
@@ -139,7 +139,7 @@
 
 /// Inputs for the memory forecast of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct RoomView<'a> {
+pub struct ForecastContext<'a> {
     /// All streams of the pool.
     pub streams: &'a Streams,
     /// The answer length estimates.
@@ -226,7 +226,7 @@
     }
 
     /// Records that a request was placed here.
-    pub fn placed(&mut self, now_ms: u64) {
+    pub fn record_placement(&mut self, now_ms: u64) {
         self.rate.placed(now_ms);
         self.placements_ms.push_back(now_ms);
         while self
@@ -239,7 +239,7 @@
     }
 
     /// Whether the rate limits for cold engines and from announcements allow one more request now.
-    pub fn bears_one_more(&self, now_ms: u64) -> bool {
+    pub fn within_rate_limits(&self, now_ms: u64) -> bool {
         if !self.rate.has_token(now_ms) {
             return false;
         }
@@ -252,13 +252,13 @@
     }
 
     /// Adds a newly placed stream.
-    pub fn add(&mut self, key: StreamKey, forecast: &Forecast) {
+    pub fn add_stream(&mut self, key: StreamKey, forecast: &Forecast) {
         self.streams.push(key);
-        self.forecast = self.forecast.plus(forecast);
+        self.forecast = self.forecast.combined(forecast);
     }
 
     /// Removes a stream.
-    pub fn remove(&mut self, key: StreamKey, now_ms: u64) {
+    pub fn remove_stream(&mut self, key: StreamKey, now_ms: u64) {
         self.streams.retain(|other| *other != key);
         self.prefill.remove(key, now_ms);
         self.prefill_spans.reads(!self.prefill.is_idle(), now_ms);
@@ -299,30 +299,45 @@
         &self.forecast
     }
 
-    /// Free memory at the forecast peak with `more` added, in tokens; negative if it does not fit.
-    pub fn room_left(&mut self, view: &RoomView<'_>, more: &Forecast) -> f64 {
-        let settings = view.settings;
-        let forecast = self.forecast(view.streams, view.lengths, view.tokens_per_ms, view.now_ms);
-        let total = forecast.plus(more);
+    /// Free memory at the forecast peak with `added` included, in tokens; negative if it does not fit.
+    pub fn free_tokens(&mut self, context: &ForecastContext<'_>, added: &Forecast) -> f64 {
+        let settings = context.settings;
+        let forecast = self.forecast(
+            context.streams,
+            context.lengths,
+            context.tokens_per_ms,
+            context.now_ms,
+        );
+        let total = forecast.combined(added);
         let peak = match settings.forecast {
-            true => total.peak_tokens(view.margin),
-            false => total.now_tokens(),
+            true => total.peak_tokens(context.margin),
+            false => total.current_tokens(),
         };
         let usable = self.info.capacity_tokens as f64 * settings.memory_share;
         usable - self.foreign_tokens - peak
     }
 
     /// Free memory at each horizon, in tokens.
-    pub fn free_ahead(&mut self, view: &RoomView<'_>) -> [f64; HORIZONS_TOKENS.len()] {
-        let usable = self.info.capacity_tokens as f64 * view.settings.memory_share;
+    pub fn free_tokens_by_horizon(
+        &mut self,
+        context: &ForecastContext<'_>,
+    ) -> [f64; HORIZONS_TOKENS.len()] {
+        let usable = self.info.capacity_tokens as f64 * context.settings.memory_share;
         let usable = usable - self.foreign_tokens;
-        let forecast = self.forecast(view.streams, view.lengths, view.tokens_per_ms, view.now_ms);
-        forecast.tokens_with(view.margin).map(|used| usable - used)
+        let forecast = self.forecast(
+            context.streams,
+            context.lengths,
+            context.tokens_per_ms,
+            context.now_ms,
+        );
+        forecast
+            .tokens_at_margin(context.margin)
+            .map(|used| usable - used)
     }
 
     /// Records the memory use of this ledger's streams, to be compared with reports that arrive
     /// late.
-    pub fn remember(&mut self, own_tokens: f64, now_ms: u64) {
+    pub fn record_own_tokens(&mut self, own_tokens: f64, now_ms: u64) {
         self.own_history.push_back((now_ms, own_tokens));
         while self
             .own_history
@@ -334,7 +349,7 @@
     }
 
     /// Applies a report. Returns the number of new preemptions.
-    pub fn reported(&mut self, report: EngineReport, lag_ms: u64, now_ms: u64) -> u64 {
+    pub fn apply_report(&mut self, report: EngineReport, lag_ms: u64, now_ms: u64) -> u64 {
         let previous = self.report.map(|(previous, _)| previous);
         let first = previous.is_none();
         self.report = Some((report, now_ms));
@@ -354,7 +369,7 @@
 
     /// Whether a recent report shows requests waiting for memory. Requests that wait while memory
     /// is free only wait for the next step.
-    pub fn is_backed_up(&self, now_ms: u64) -> bool {
+    pub fn has_memory_backlog(&self, now_ms: u64) -> bool {
         self.report.is_some_and(|(report, at_ms)| {
             let short_of_memory = report.memory_share >= FULL_MEMORY_SHARE;
             report.waiting > 0 && short_of_memory && now_ms < at_ms + REPORT_TTL_MS
--- a/components/policy/src/placement/ledger_tests.rs
+++ b/components/policy/src/placement/ledger_tests.rs
@@ -20,8 +20,8 @@
 fn estimates_load_from_elsewhere() {
     let mut ledger = ledger();
     for at_ms in 0..40 {
-        ledger.remember(200.0, at_ms * 100);
-        ledger.reported(report(0.7), 200, at_ms * 100);
+        ledger.record_own_tokens(200.0, at_ms * 100);
+        ledger.apply_report(report(0.7), 200, at_ms * 100);
     }
     assert!((ledger.foreign_tokens - 500.0).abs() < 20.0);
 }
@@ -29,10 +29,10 @@
 #[test]
 fn drops_load_from_elsewhere_that_has_ended() {
     let mut ledger = ledger();
-    ledger.reported(report(0.9), 0, 0);
+    ledger.apply_report(report(0.9), 0, 0);
     for at_ms in 1..20 {
-        ledger.remember(0.0, at_ms);
-        ledger.reported(report(0.0), 0, at_ms);
+        ledger.record_own_tokens(0.0, at_ms);
+        ledger.apply_report(report(0.0), 0, at_ms);
     }
     assert_eq!(ledger.foreign_tokens, 0.0);
 }
@@ -40,9 +40,9 @@
 #[test]
 fn does_not_count_its_own_earlier_load_as_foreign() {
     let mut ledger = ledger();
-    ledger.remember(900.0, 0);
-    ledger.remember(100.0, 300);
-    ledger.reported(report(0.9), 250, 300);
+    ledger.record_own_tokens(900.0, 0);
+    ledger.record_own_tokens(100.0, 300);
+    ledger.apply_report(report(0.9), 250, 300);
     assert_eq!(ledger.foreign_tokens, 0.0);
 }
 
@@ -51,11 +51,11 @@
     let mut ledger = ledger();
     let mut between_steps = report(0.2);
     between_steps.waiting = 3;
-    ledger.reported(between_steps, 0, 0);
-    assert!(!ledger.is_backed_up(1));
+    ledger.apply_report(between_steps, 0, 0);
+    assert!(!ledger.has_memory_backlog(1));
     between_steps.memory_share = 0.99;
-    ledger.reported(between_steps, 0, 2);
-    assert!(ledger.is_backed_up(3));
+    ledger.apply_report(between_steps, 0, 2);
+    assert!(ledger.has_memory_backlog(3));
 }
 
 #[test]
@@ -66,7 +66,7 @@
         incarnation: TargetIncarnation(incarnation),
         ..EngineReport::default()
     };
-    assert_eq!(ledger.reported(report_with(5, 1), 0, 0), 0);
-    assert_eq!(ledger.reported(report_with(7, 1), 0, 1), 2);
-    assert_eq!(ledger.reported(report_with(1, 2), 0, 2), 0);
+    assert_eq!(ledger.apply_report(report_with(5, 1), 0, 0), 0);
+    assert_eq!(ledger.apply_report(report_with(7, 1), 0, 1), 2);
+    assert_eq!(ledger.apply_report(report_with(1, 2), 0, 2), 0);
 }
--- a/components/policy/src/placement/length.rs
+++ b/components/policy/src/placement/length.rs
@@ -116,11 +116,11 @@
         bins
     }
 
-    fn add_reached(&mut self, bin: usize, share: f64) {
-        self.reached[bin] += self.weight * share;
+    fn add_reached(&mut self, bin: usize, probability: f64) {
+        self.reached[bin] += self.weight * probability;
     }
 
-    fn end(&mut self, bin: usize) {
+    fn add_ended(&mut self, bin: usize) {
         self.ended[bin] += self.weight;
     }
 
@@ -166,16 +166,16 @@
 
 /// Survival of the answers of one class, given the tokens generated so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Survivor<'a> {
+pub struct ConditionalSurvival<'a> {
     bins: &'a Bins,
     generated: f64,
     /// Reciprocal of the probability of reaching the current length.
     inverse_survival: f64,
 }
 
-impl Survivor<'_> {
+impl ConditionalSurvival<'_> {
     /// The probability of generating more than `more` further tokens.
-    pub fn share(&self, more: f64) -> f64 {
+    pub fn probability(&self, more: f64) -> f64 {
         self.bins.survival_at(self.generated + more) * self.inverse_survival
     }
 }
@@ -225,7 +225,7 @@
 
 impl LengthModel {
     /// Records that a running answer of `class` grew from `from_tokens` to `to_tokens`.
-    pub fn grew(&mut self, class: LengthClass, from_tokens: u32, to_tokens: u32) {
+    pub fn record_growth(&mut self, class: LengthClass, from_tokens: u32, to_tokens: u32) {
         let from = bin_of(f64::from(from_tokens.max(1)));
         let to = bin_of(f64::from(to_tokens.max(1)));
         if from == to {
@@ -240,14 +240,14 @@
     }
 
     /// Records that an answer of `class` ended at `tokens`.
-    pub fn ended(&mut self, class: LengthClass, tokens: u32, end: StreamEnd) {
+    pub fn record_end(&mut self, class: LengthClass, tokens: u32, end: StreamEnd) {
         let bin = bin_of(f64::from(tokens.max(1)));
         let bins = self.classes.entry(class).or_insert_with(Bins::new);
         for bins in [bins, &mut self.pool] {
             match end {
                 StreamEnd::Finished => {
                     bins.add_reached(bin, 1.0);
-                    bins.end(bin);
+                    bins.add_ended(bin);
                 }
                 StreamEnd::Censored => bins.add_reached(bin, 0.5),
             }
@@ -259,13 +259,18 @@
     /// The probability that an answer of `class` with `generated` tokens generates more than `more`
     /// further ones.
     pub fn survival(&self, class: LengthClass, generated: f64, more: f64) -> f64 {
-        self.survivor(class, generated).share(more)
+        self.conditional_survival(class, generated)
+            .probability(more)
     }
 
     /// The survival of answers of `class` that have generated `generated` tokens.
-    pub fn survivor(&self, class: LengthClass, generated: f64) -> Survivor<'_> {
+    pub fn conditional_survival(
+        &self,
+        class: LengthClass,
+        generated: f64,
+    ) -> ConditionalSurvival<'_> {
         let bins = self.classes.get(&class).unwrap_or(&self.pool);
-        Survivor {
+        ConditionalSurvival {
             bins,
             generated,
             inverse_survival: bins.survival_at(generated).recip(),
--- a/components/policy/src/placement/length_tests.rs
+++ b/components/policy/src/placement/length_tests.rs
@@ -17,8 +17,8 @@
             Some(cut) if length > cut => (cut, StreamEnd::Censored),
             _ => (length, StreamEnd::Finished),
         };
-        model.grew(class, 0, tokens);
-        model.ended(class, tokens, end);
+        model.record_growth(class, 0, tokens);
+        model.record_end(class, tokens, end);
     }
 }
 
@@ -44,9 +44,9 @@
     train(&mut model, CLASS, 20.0, None, 500);
     let before = model.survival(CLASS, 0.0, 200.0);
     for _ in 0..500 {
-        model.grew(CLASS, 0, 400);
+        model.record_growth(CLASS, 0, 400);
     }
-    model.ended(CLASS, 1, StreamEnd::Finished);
+    model.record_end(CLASS, 1, StreamEnd::Finished);
     assert!(model.survival(CLASS, 0.0, 200.0) > before + 0.2);
 }
 
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -3,7 +3,7 @@
 
 use crate::pace::felt::{PauseView, Pausing};
 use crate::placement::forecast::Forecast;
-use crate::placement::ledger::{EngineState, RoomView};
+use crate::placement::ledger::{EngineState, ForecastContext};
 use crate::pool::Pool;
 use prelude::{DataCentreId, PermitId, TargetId};
 
@@ -56,7 +56,7 @@
         let data_centre = self.data_centre_of(from);
         let margin = self.margin_in_use();
         let near_bonus = f64::from(self.settings.near_copy_tokens);
-        let view = RoomView {
+        let context = ForecastContext {
             streams: &self.streams,
             lengths: &self.lengths,
             settings: &self.settings,
@@ -83,11 +83,12 @@
                 continue;
             };
             let id = ledger.info.id;
-            let is_eligible = ledger.state == EngineState::Live && ledger.bears_one_more(now_ms);
+            let is_eligible =
+                ledger.state == EngineState::Live && ledger.within_rate_limits(now_ms);
             if !is_eligible || id == from || avoid.contains(&id) {
                 continue;
             }
-            let free = ledger.room_left(&view, &forecast);
+            let free = ledger.free_tokens(&context, &forecast);
             let required_free = match may_stay {
                 true => ledger.info.capacity_tokens as f64 * OPTIONAL_MOVE_FREE_SHARE,
                 false => 0.0,
@@ -108,7 +109,7 @@
         let (_, target) = best?;
         self.engines.remove_stream(current, key, now_ms);
         if let Some(ledger) = self.engines.add_stream(target, key, &forecast, now_ms) {
-            ledger.placed(now_ms);
+            ledger.record_placement(now_ms);
             if generated_tokens == 0 {
                 ledger.prefill.push(key, prompt_tokens, now_ms);
                 ledger.prefill_spans.reads(true, now_ms);
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -248,7 +248,7 @@
             self.prefixes.note(target, prefix, now_ms);
         }
         if let Some(ledger) = self.engine_mut(target) {
-            ledger.placed(now_ms);
+            ledger.record_placement(now_ms);
         }
         self.place(demand, target, 0, now_ms);
     }
@@ -299,7 +299,7 @@
         for slot in self.engines.busy() {
             if let Some(ledger) = self.engines.slot_mut(slot) {
                 let own_tokens = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
-                ledger.remember(own_tokens, now_ms);
+                ledger.record_own_tokens(own_tokens, now_ms);
             }
         }
     }
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -95,9 +95,9 @@
         if !self.settings.learns_lengths {
             return;
         }
-        self.lengths.grew(class, previous_tokens, tokens);
+        self.lengths.record_growth(class, previous_tokens, tokens);
         if let Some(end) = end {
-            self.lengths.ended(class, tokens, end);
+            self.lengths.record_end(class, tokens, end);
         }
     }
 
