--- a/components/bench/src/capacity/dispatch.rs
+++ b/components/bench/src/capacity/dispatch.rs
@@ -118,10 +118,10 @@
         let serial = streams + cycle;
         let now_ms = cycle * 18;
         pool.submit(demand(serial), now_ms);
-        let _ = pool.run(now_ms);
+        let _ = pool.schedule(now_ms);
         let permit = demand(serial).permit;
         for tokens in [1, 64, 128, 192] {
-            pool.progress(permit, tokens, now_ms);
+            pool.record_progress(permit, tokens, now_ms);
         }
         pool.release(permit, 200, StreamEnd::Finished);
     }
--- a/components/node/src/desk.rs
+++ b/components/node/src/desk.rs
@@ -150,7 +150,7 @@
         if inner.local.waiting() == 0 {
             return;
         }
-        for (permit, verdict) in inner.local.run(now_ms) {
+        for (permit, verdict) in inner.local.schedule(now_ms) {
             let waiter = inner.waiters.remove(&permit);
             let told = waiter.is_some_and(|waiter| waiter.send(verdict).is_ok());
             if let (false, Verdict::Granted { target }) = (told, verdict) {
--- a/components/node/src/dispatch.rs
+++ b/components/node/src/dispatch.rs
@@ -197,7 +197,7 @@
     /// Decides what can be decided, and tells those who wait.
     fn run(&mut self, now_ms: u64) {
         let began = std::time::Instant::now();
-        let verdicts = self.pool.run(now_ms);
+        let verdicts = self.pool.schedule(now_ms);
         if !verdicts.is_empty() {
             let ns = began.elapsed().as_nanos() as f64 / verdicts.len() as f64;
             metrics::histogram!("shuntpier_decision_ns").record(ns);
@@ -223,7 +223,7 @@
         for engine in self.shared.settings().engines_of(self.id) {
             let (shared, address) = (self.shared.clone(), address.clone());
             let (id, at) = (engine.id, engine.address);
-            let after = self.pool.last_cache_event(id);
+            let after = self.pool.last_cache_event_seq(id);
             tokio::spawn(async move {
                 if let Polled::Answered(report) = poll_engine(&shared, id, at).await {
                     let _ = address.send(Loaded(id, report)).await;
@@ -276,7 +276,7 @@
         };
         for stream in &update.progress {
             let permit = permit_of(stream.serial);
-            resync |= !self.pool.progress(permit, stream.tokens, now_ms);
+            resync |= !self.pool.record_progress(permit, stream.tokens, now_ms);
         }
         self.end_streams(update.from, update.life, &update.ended);
         let known = self.pool.streams_of(update.from);
@@ -302,7 +302,7 @@
         self.used_ms = now_ms;
         let Adopt(from, streams) = message;
         let permits: HashSet<PermitId> = streams.iter().map(|s| s.request.permit).collect();
-        self.pool.keep_only(from, &permits, now_ms);
+        self.pool.reconcile_permits(from, &permits, now_ms);
         for stream in streams {
             let adopted = RunningStream {
                 demand: self.demand(&stream.request, now_ms),
--- a/components/node/src/dispatch/engine_words.rs
+++ b/components/node/src/dispatch/engine_words.rs
@@ -15,7 +15,7 @@
             if let Some(address) = context.mailbox().address().try_upgrade() {
                 self.poll(address, now_ms);
             }
-            self.pool.forget_silent(now_ms);
+            self.pool.expire_silent_boxes(now_ms);
         }
         self.run(now_ms);
         in_use
@@ -36,7 +36,7 @@
             leaving: load.leaving,
         };
         let now_ms = self.shared.now_ms();
-        self.pool.report(target, report, now_ms);
+        self.pool.apply_report(target, report, now_ms);
         self.run(now_ms);
     }
 }
@@ -48,7 +48,7 @@
         let now_ms = self.shared.now_ms();
         for event in message.1 {
             self.pool
-                .cache_event(message.0, event.seq, event.prefix, event.stored, now_ms);
+                .apply_cache_event(message.0, event.seq, event.prefix, event.stored, now_ms);
         }
     }
 }
--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -80,9 +80,9 @@
 
 fn step(pool: &mut Pool, serial: u64, now_ms: u64) {
     black_box(pool.submit(demand(serial, now_ms), now_ms));
-    black_box(pool.run(now_ms));
+    black_box(pool.schedule(now_ms));
     let begun = serial.saturating_sub(30);
-    pool.progress(demand(begun, 0).permit, 1, now_ms);
+    pool.record_progress(demand(begun, 0).permit, 1, now_ms);
     pool.gaps_seen(demand(begun, 0).permit, gaps(serial), now_ms);
     let Some(ended) = serial.checked_sub(OPEN) else {
         return;
--- a/components/policy/src/admission/protection.rs
+++ b/components/policy/src/admission/protection.rs
@@ -46,7 +46,7 @@
 
     /// Engines that are kept free while a prompt is read. The requests of accounts that flood are not among what comes.
     fn kept_engines(&self, demand: &Demand, read_ms: f64, now_ms: u64) -> f64 {
-        let coming = &self.outlook.coming;
+        let coming = &self.admission_forecast.coming;
         if self.tree.outweighs_others(&demand.share) {
             let mean = coming.requests_before(RANK_COUNT as u8, now_ms) * read_ms;
             return mean + KEPT_DEVIATIONS * mean.sqrt();
--- a/components/policy/src/admission/protection_tests.rs
+++ b/components/policy/src/admission/protection_tests.rs
@@ -39,7 +39,7 @@
         let urgent = request(serial, 0, 1, at_ms);
         let permit = urgent.permit;
         pool.submit(urgent, at_ms);
-        pool.run(at_ms);
+        pool.schedule(at_ms);
         pool.release(permit, 2, crate::StreamEnd::Finished);
     }
 }
@@ -64,7 +64,7 @@
     for serial in 0..4 {
         pool.submit(request(100 + serial, 2, 5_000, 1_000), 1_000);
     }
-    assert_eq!(granted(&pool.run(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
 }
 
 #[test]
@@ -72,8 +72,8 @@
     let mut pool = pool(true);
     urgent_came(&mut pool, 20);
     pool.submit(request(100, 2, 5_000, 1_000), 1_000);
-    assert_eq!(granted(&pool.run(1_000)), 0);
-    assert_eq!(granted(&pool.run(4_000)), 1);
+    assert_eq!(granted(&pool.schedule(1_000)), 0);
+    assert_eq!(granted(&pool.schedule(4_000)), 1);
 }
 
 /// An urgent request that is too long for the room there is, and a short one that would fit and is less urgent.
@@ -88,9 +88,9 @@
     for serial in 0..4 {
         pool.submit(request(serial, 5, 60_000, 0), 0);
     }
-    assert_eq!(granted(&pool.run(0)), 4);
+    assert_eq!(granted(&pool.schedule(0)), 4);
     for serial in 0..4 {
-        pool.progress(request(serial, 5, 60_000, 0).permit, 1, 1_000);
+        pool.record_progress(request(serial, 5, 60_000, 0).permit, 1, 1_000);
     }
     let urgent = request(10, 0, 60_000, 1_000);
     let short = Demand {
@@ -101,7 +101,7 @@
     pool.queue.push(urgent, 9_000, urgent_need);
     pool.queue
         .push(short.clone(), short.deadline_ms - 20, short_need);
-    assert_eq!(granted(&pool.run(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let mut pool = pool(true);
     urgent_came(&mut pool, 40);
     pool.submit(request(100, 0, 5_000, 1_000), 1_000);
-    assert_eq!(granted(&pool.run(1_000)), 1);
+    assert_eq!(granted(&pool.schedule(1_000)), 1);
 }
 
 /// Four requests of an account that asked for nearly all that came, beside so many requests of four others.
@@ -133,6 +133,6 @@
         pool.submit(flooding, 1_000);
     }
     assert!(pool.tree.floods(&demand(0, 9, 0).share));
-    assert_eq!(granted(&pool.run(1_000)), expected);
-    assert_eq!(granted(&pool.run(6_000)), 4 - expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(6_000)), 4 - expected);
 }
--- a/components/policy/src/admission/rate_tests.rs
+++ b/components/policy/src/admission/rate_tests.rs
@@ -20,7 +20,7 @@
         cold_rate_per_s: None,
     }));
     for (id, rate_per_s) in ENGINES.into_iter().zip(rates_per_s) {
-        pool.report(id, EngineReport::default(), 0);
+        pool.apply_report(id, EngineReport::default(), 0);
         pool.set_rate_limit(id, rate_per_s, 0);
     }
     pool
@@ -34,14 +34,14 @@
         if now_ms % 50 == 0 {
             pool.submit(short(now_ms, now_ms + 1_000), now_ms);
         }
-        for (permit, verdict) in pool.run(now_ms) {
+        for (permit, verdict) in pool.schedule(now_ms) {
             if let Verdict::Granted { target } = verdict {
                 placed.push((now_ms, target));
                 running.push((now_ms + 100, permit));
             }
         }
         for (_, permit) in running.extract_if(.., |(ends_ms, _)| *ends_ms <= now_ms) {
-            pool.progress(permit, 10, now_ms);
+            pool.record_progress(permit, 10, now_ms);
             pool.release(permit, 10, StreamEnd::Finished);
         }
     }
@@ -83,7 +83,7 @@
         pool.submit(demand(1, 1, 1), 0),
         SubmitOutcome::Queued { .. }
     ));
-    assert!(pool.run(100).is_empty());
+    assert!(pool.schedule(100).is_empty());
     pool.set_rate_limit(ENGINES[1], None, 200);
-    assert_eq!(pool.run(200).len(), 1);
+    assert_eq!(pool.schedule(200).len(), 1);
 }
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -33,7 +33,7 @@
         }
         // What fits nowhere says nothing of what needs room, and no room is kept for what goes behind all others.
         if !self.tree.floods(&demand.share) {
-            self.outlook.coming.came(demand, need, now_ms);
+            self.admission_forecast.coming.came(demand, need, now_ms);
         }
         if self.settings.waiting == WaitingPolicy::FirstToken {
             return self.too_late(demand, need, now_ms);
@@ -51,7 +51,7 @@
         if self.queue.len() == 0 {
             return Some(0);
         }
-        let ms_per_grant = self.pace.ms_per_grant()?;
+        let ms_per_grant = self.grant_rate.ms_per_grant()?;
         let part = self.queue.weight_part(&demand.share);
         let own_ahead = self.queue.len_of(demand.share.account) as f64 / part;
         let ahead = own_ahead.min(self.queue.len() as f64);
@@ -60,10 +60,10 @@
 
     /// Refuses what has waited until its deadline.
     pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
-        if now_ms < self.expiry_ms {
+        if now_ms < self.next_expiry_check_ms {
             return Vec::new();
         }
-        self.expiry_ms = now_ms + EXPIRY_CHECK_MS;
+        self.next_expiry_check_ms = now_ms + EXPIRY_CHECK_MS;
         let forecasts = self.settings.waiting == WaitingPolicy::FirstToken;
         let mut verdicts = match forecasts {
             true => self.refuse_early(now_ms),
@@ -86,7 +86,7 @@
             self.usage.refused(&demand);
             // Its first token would have come after its prompt was read, at the soonest.
             let read_ms = self.read_ms(&demand) as u64;
-            let errors = &mut self.outlook.errors;
+            let errors = &mut self.admission_forecast.errors;
             errors.first_token(demand.permit, now_ms.saturating_add(read_ms));
             let wait_ms = self.expected_wait_ms(&demand).unwrap_or(0);
             let refusal = Refusal {
--- a/components/policy/src/admission/waiting.rs
+++ b/components/policy/src/admission/waiting.rs
@@ -46,10 +46,10 @@
 impl Pool {
     /// Looks at the memory that will come free, where that was not done just now.
     pub(crate) fn look_ahead(&mut self, now_ms: u64) {
-        if !self.settings.memory_ahead || !self.outlook.room.is_stale(now_ms) {
+        if !self.settings.memory_ahead || !self.admission_forecast.room.is_stale(now_ms) {
             return;
         }
-        let usual_tokens = self.outlook.coming.usual_tokens(now_ms);
+        let usual_tokens = self.admission_forecast.coming.usual_tokens(now_ms);
         let view = ForecastContext {
             streams: &self.streams,
             lengths: &self.lengths,
@@ -58,7 +58,7 @@
             margin: self.margin_in_use(),
             now_ms,
         };
-        self.outlook
+        self.admission_forecast
             .room
             .look(self.engines.iter_mut(), &view, usual_tokens);
     }
@@ -79,12 +79,12 @@
             .before(demand, begins_by_ms, &self.tree, &mut run);
         let first = self.first_token(&run, demand, need, &before, now_ms)?;
         if self.is_over(demand, first, now_ms) {
-            let mut returning = std::mem::take(&mut self.outlook.returning);
+            let mut returning = std::mem::take(&mut self.admission_forecast.returning);
             let refusal = self.crowded(run, demand, need, before, &mut returning);
-            self.outlook.returning = returning;
+            self.admission_forecast.returning = returning;
             return Some(refusal);
         }
-        let errors = &mut self.outlook.errors;
+        let errors = &mut self.admission_forecast.errors;
         errors.forecast(demand, first.forecast_ms, now_ms);
         None
     }
@@ -95,7 +95,7 @@
             return Vec::new();
         }
         self.look_ahead(now_ms);
-        let mut returning = std::mem::take(&mut self.outlook.returning);
+        let mut returning = std::mem::take(&mut self.admission_forecast.returning);
         let mut run = self.run_forward(now_ms);
         let mut before = Before::default();
         let mut rank = 0;
@@ -118,9 +118,9 @@
             run.read(demand.prompt_tokens);
             before.add(demand, need, rank);
         }
-        self.outlook.returning = returning;
+        self.admission_forecast.returning = returning;
         for (permit, _) in &verdicts {
-            self.outlook.errors.left(*permit);
+            self.admission_forecast.errors.left(*permit);
             if let Some(demand) = self.queue.remove(*permit) {
                 self.usage.refused(&demand);
                 self.tree.leaves(&demand.share);
@@ -189,13 +189,15 @@
         let held_up = self.held_up(run, rank, now_ms);
         let by_reading_ms = read_ms + (alone_ms - read_ms).max(0.0) * held_up;
         let granted_ms = match self.settings.memory_ahead {
-            true => self.outlook.memory_in_ms(rank, need, before, now_ms),
+            true => self
+                .admission_forecast
+                .memory_in_ms(rank, need, before, now_ms),
             false => self.by_pace_ms(rank, before.same_rank),
         };
         let forecast_ms = by_reading_ms.max(granted_ms + read_ms);
         let corrects = self.settings.corrects_forecasts || self.settings.memory_ahead;
         let correction = match corrects {
-            true => self.outlook.errors.correction(rank, now_ms),
+            true => self.admission_forecast.errors.correction(rank, now_ms),
             false => 1.0,
         };
         Some(FirstToken {
@@ -206,7 +208,7 @@
 
     /// By how much forecasts of first tokens are corrected, for the ranks of which some came lately: 1 where they were right.
     pub fn forecast_corrections(&self) -> impl Iterator<Item = (u8, f64)> + '_ {
-        let errors = &self.outlook.errors;
+        let errors = &self.admission_forecast.errors;
         errors
             .known()
             .map(|rank| (rank, errors.correction(rank, self.now_ms)))
@@ -217,7 +219,7 @@
         if !self.counts_what_comes() {
             return 1.0;
         }
-        let coming = &self.outlook.coming;
+        let coming = &self.admission_forecast.coming;
         let urgent = coming.prompt_tokens_before(rank, now_ms) / run.tokens_per_ms();
         (1.0 - urgent.min(URGENT_SHARE_MOST)).recip()
     }
@@ -232,7 +234,7 @@
         if same_rank == 0 {
             return 0.0;
         }
-        let pace = self.paces[usize::from(rank)].ms_per_grant();
+        let pace = self.rank_grant_rates[usize::from(rank)].ms_per_grant();
         pace.unwrap_or(0.0) * (same_rank + 1) as f64
     }
 
--- a/components/policy/src/admission/waiting_tests.rs
+++ b/components/policy/src/admission/waiting_tests.rs
@@ -59,7 +59,7 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     // The fourth would be read after 4 s.
     let SubmitOutcome::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
@@ -82,7 +82,7 @@
         pool.submit(demand(1, 50_000, 1_000), 0),
         SubmitOutcome::Queued { .. }
     ));
-    assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
+    assert!(matches!(pool.schedule(0)[0].1, Verdict::Granted { .. }));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let mut pool = pool();
     for serial in 0..4 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     let urgent = Demand {
         rank: 0,
@@ -107,7 +107,7 @@
 fn who_comes_back_goes_before_those_that_have_more_time_left() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
-    pool.run(0);
+    pool.schedule(0);
     for (serial, caller_deadline_ms) in [(2, 10_000), (3, 6_000), (4, 12_000)] {
         let next = Demand {
             caller_deadline_ms,
@@ -128,11 +128,11 @@
 fn what_is_let_wait_is_refused_late_only_when_its_prompt_can_no_longer_be_read() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
-    pool.run(0);
+    pool.schedule(0);
     pool.submit(demand(2, 2_500, 2_000), 0);
     // The first is overdue: from 1.5 s on the second could not be read before 2 s.
     let refused = |pool: &mut Pool, at_ms| {
-        let verdicts = pool.run(at_ms);
+        let verdicts = pool.schedule(at_ms);
         verdicts
             .iter()
             .any(|(_, verdict)| matches!(verdict, Verdict::Refused(_)))
@@ -146,7 +146,7 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     // The others are due after 9 s: it is read after the first, in 2 s.
     let soon = demand(9, 5_000, 3_000);
@@ -159,7 +159,7 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     let back_ms = |serial| match pool.submit(demand(serial, 5_000, 3_000), 0) {
         SubmitOutcome::Refused(refusal) => refusal.retry_after_ms.unwrap(),
@@ -186,6 +186,6 @@
             ..demand(serial, 0, 1_000)
         };
         assert!(matches!(pool.submit(next, 0), SubmitOutcome::Queued { .. }));
-        assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
+        assert!(matches!(pool.schedule(0)[0].1, Verdict::Granted { .. }));
     }
 }
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -39,7 +39,7 @@
         let ids = self.engines.iter().map(|ledger| ledger.info.id);
         let removed: Vec<TargetId> = ids.filter(|id| !kept.contains(id)).collect();
         for target in removed {
-            self.drop_engine(target);
+            self.remove_engine(target);
         }
         self.sync_capacity();
     }
@@ -52,7 +52,7 @@
     }
 
     /// Removes an engine. Its streams lose their permits.
-    pub fn drop_engine(&mut self, target: TargetId) {
+    pub fn remove_engine(&mut self, target: TargetId) {
         self.set_state(target, EngineState::Gone);
         self.prefixes.forget(target);
         self.rate_limited.remove(&target);
@@ -95,7 +95,7 @@
     }
 
     /// Applies an engine's load report.
-    pub fn report(&mut self, target: TargetId, report: EngineReport, now_ms: u64) {
+    pub fn apply_report(&mut self, target: TargetId, report: EngineReport, now_ms: u64) {
         let lag_ms = self.settings.report_lag_ms;
         let Some(ledger) = self.engine_mut(target) else {
             return;
@@ -109,7 +109,7 @@
     }
 
     /// Applies an event of an engine's prefix cache.
-    pub fn cache_event(
+    pub fn apply_cache_event(
         &mut self,
         target: TargetId,
         seq: u64,
@@ -121,7 +121,7 @@
     }
 
     /// Sequence number of the last cache event received from an engine.
-    pub fn last_cache_event(&self, target: TargetId) -> u64 {
+    pub fn last_cache_event_seq(&self, target: TargetId) -> u64 {
         self.prefixes.last_seq(target)
     }
 }
--- a/components/policy/src/fairness/told.rs
+++ b/components/policy/src/fairness/told.rs
@@ -69,7 +69,7 @@
     /// Takes in what the requests of a box used before this dispatcher was told of them. True where it did not hear the box
     /// lately, which may have had another dispatcher.
     pub fn adopt_use(&mut self, entry: BoxId, used: &[UsedLately], now_ms: u64) -> bool {
-        let part = self.known.take_unknown_part(entry, now_ms);
+        let part = self.observed_boxes.take_unknown_part(entry, now_ms);
         // The time before it is told is in its words, and is charged for nothing that it adopts.
         self.tree.pass(now_ms);
         if part <= 0.0 {
--- a/components/policy/src/fairness/told_tests.rs
+++ b/components/policy/src/fairness/told_tests.rs
@@ -62,7 +62,7 @@
     };
     pool.set_engines(&(0..ENGINES).map(info).collect::<Vec<_>>());
     for id in 0..ENGINES {
-        pool.report(TargetId(id), EngineReport::default(), 0);
+        pool.apply_report(TargetId(id), EngineReport::default(), 0);
     }
     pool
 }
@@ -175,7 +175,7 @@
         for (demand, _, _) in self.running.extract_if(.., |one| over(one)) {
             pool.release(demand.permit, 50, StreamEnd::Finished);
         }
-        for (permit, verdict) in pool.run(now_ms) {
+        for (permit, verdict) in pool.schedule(now_ms) {
             let Some(at) = self.waiting.iter().position(|one| one.permit == permit) else {
                 // Whoever asked has asked another: the permit is free again.
                 pool.release(permit, 0, StreamEnd::Censored);
@@ -188,7 +188,7 @@
             }
         }
         for (demand, _, _) in &self.running {
-            pool.progress(demand.permit, 1, now_ms);
+            pool.record_progress(demand.permit, 1, now_ms);
             self.used[(demand.share.account.0 - 1) as usize] += 2_000 * 20;
         }
     }
@@ -296,7 +296,7 @@
     let held: Vec<PermitId> = boxes.running.iter().map(|one| one.0.permit).collect();
     for entry in 1..=3 {
         let of_box = held.iter().filter(|permit| permit.entry == BoxId(entry));
-        first.keep_only(BoxId(entry), &of_box.copied().collect(), 6_000);
+        first.reconcile_permits(BoxId(entry), &of_box.copied().collect(), 6_000);
     }
     boxes.tell(&mut first, 6_000);
     boxes.served = [0; 2];
@@ -381,10 +381,10 @@
     assert!(refused.count() > 0, "none is refused");
     let refused_now = pool.submit(in_time(900), 100_001);
     assert!(matches!(refused_now, SubmitOutcome::Refused(_)));
-    let again = pool.submit_again(in_time(901), 100_001);
+    let again = pool.resubmit(in_time(901), 100_001);
     assert!(matches!(again, SubmitOutcome::Queued { .. }));
     // Its time is over as that of any other.
-    let verdicts = pool.run(103_000);
+    let verdicts = pool.schedule(103_000);
     let over = verdicts.iter().find(|(permit, _)| permit.serial == 901);
     assert!(matches!(over, Some((_, Verdict::Refused(_)))));
 }
--- a/components/policy/src/holders.rs
+++ b/components/policy/src/holders.rs
@@ -20,10 +20,10 @@
     /// Adopts a stream that runs on a grant of another dispatcher, or without one.
     pub fn adopt(&mut self, adopted: RunningStream, now_ms: u64) {
         let permit = adopted.demand.permit;
-        self.heard_ms.insert(permit.entry, now_ms);
-        self.known.heard(permit.entry, now_ms);
+        self.last_seen_ms.insert(permit.entry, now_ms);
+        self.observed_boxes.heard(permit.entry, now_ms);
         if self.by_permit.contains_key(&permit) {
-            self.progress(permit, adopted.generated_tokens, now_ms);
+            self.record_progress(permit, adopted.generated_tokens, now_ms);
             return;
         }
         if let Some(waiting) = self.queue.remove(permit) {
@@ -31,19 +31,19 @@
         }
         self.tree.runs(&adopted.demand.share);
         let generated_tokens = adopted.generated_tokens;
-        self.place(adopted.demand, adopted.target, generated_tokens, now_ms);
+        self.place_stream(adopted.demand, adopted.target, generated_tokens, now_ms);
     }
 
     /// Discards the measured grant rate, which does not count requests that waited at another
     /// dispatcher.
-    pub fn forget_grant_pace(&mut self) {
-        self.pace = GrantPace::default();
-        self.paces = [GrantPace::default(); RANK_COUNT];
+    pub fn reset_grant_rate(&mut self) {
+        self.grant_rate = GrantPace::default();
+        self.rank_grant_rates = [GrantPace::default(); RANK_COUNT];
     }
 
     /// Releases the permits of a box that are missing from the list it reports, except those that
     /// may still be in flight to it.
-    pub fn keep_only(&mut self, entry: BoxId, permits: &HashSet<PermitId>, now_ms: u64) {
+    pub fn reconcile_permits(&mut self, entry: BoxId, permits: &HashSet<PermitId>, now_ms: u64) {
         let of_box = self
             .streams
             .values()
@@ -62,10 +62,10 @@
     }
 
     /// Releases the permits and drops the queued requests of boxes that stopped reporting.
-    pub fn forget_silent(&mut self, now_ms: u64) {
+    pub fn expire_silent_boxes(&mut self, now_ms: u64) {
         let is_silent = |heard_ms: &u64| heard_ms + BOX_TIMEOUT_MS < now_ms;
         let boxes: HashSet<BoxId> = self
-            .heard_ms
+            .last_seen_ms
             .iter()
             .filter(|(_, heard_ms)| is_silent(heard_ms))
             .map(|(id, _)| *id)
@@ -89,7 +89,7 @@
         {
             self.tree.leaves(&demand.share);
         }
-        self.heard_ms.retain(|id, _| !boxes.contains(id));
-        self.known.forget(&boxes);
+        self.last_seen_ms.retain(|id, _| !boxes.contains(id));
+        self.observed_boxes.forget(&boxes);
     }
 }
--- a/components/policy/src/pace/felt_tests.rs
+++ b/components/policy/src/pace/felt_tests.rs
@@ -110,7 +110,7 @@
         pool.submit(demand, NOW_MS),
         SubmitOutcome::Queued { .. }
     ));
-    match pool.run(NOW_MS).as_slice() {
+    match pool.schedule(NOW_MS).as_slice() {
         [(_, Verdict::Granted { target })] => *target,
         other => panic!("{other:?}"),
     }
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -20,7 +20,7 @@
 
 impl Pool {
     /// Chooses the engine for the first request of a queue. Engines in `reserved` are excluded.
-    pub(crate) fn choose(
+    pub(crate) fn choose_engine(
         &mut self,
         queue_key: Place,
         now_ms: u64,
@@ -31,7 +31,7 @@
         };
         let forecast = demand_forecast(&self.lengths, demand, self.settings.policy);
         let margin = self.margin_in_use();
-        let began_ms = *self.began_ms.get_or_insert(now_ms);
+        let began_ms = *self.first_request_ms.get_or_insert(now_ms);
         // Before an engine's first report the dispatcher does not know what runs there and could
         // fill it twice.
         let needs_report = now_ms < began_ms + self.settings.first_report_ms;
@@ -118,7 +118,7 @@
 
     /// Reserves engines for the requests of a queue that have waited past `pass_limit_ms`: those
     /// closest to having room, up to the `reserve_share` of all engines.
-    pub(crate) fn reserve(
+    pub(crate) fn reserve_engines(
         &self,
         queue_key: Place,
         nearest: &[TargetId],
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -109,7 +109,7 @@
     }
 
     /// Places requests in order of arrival while there is room.
-    pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
+    pub fn schedule(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         let mut verdicts = Vec::new();
         while let Some(waiting) = self.queue.front() {
             let (permit, avoid) = (waiting.permit, waiting.avoid);
--- a/components/policy/src/placement/local_tests.rs
+++ b/components/policy/src/placement/local_tests.rs
@@ -18,7 +18,7 @@
         };
         pool.submit(permit, 1000, Avoided::default());
     }
-    pool.run(0).len()
+    pool.schedule(0).len()
 }
 
 #[rstest]
@@ -30,7 +30,7 @@
     assert_eq!(submit(&mut pool, 10), 6);
     pool.closed(TargetId(1));
     pool.report(TargetId(1), 1, 0);
-    assert_eq!(pool.run(1).len(), 1);
+    assert_eq!(pool.schedule(1).len(), 1);
 }
 
 #[test]
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -122,7 +122,7 @@
     }
 
     /// Memory used by a generation, in tokens; `None` if its permit is unknown.
-    pub fn held_tokens(&self, permit: PermitId) -> Option<u32> {
+    pub fn tokens_in_use(&self, permit: PermitId) -> Option<u32> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         Some(stream.prompt_tokens + stream.generated_tokens)
     }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -39,7 +39,7 @@
     pub(crate) streams: Streams,
     pub(crate) by_permit: HashMap<PermitId, StreamKey>,
     pub(crate) queue: Queue,
-    pub(crate) outlook: Outlook,
+    pub(crate) admission_forecast: Outlook,
     pub(crate) tree: FairTree,
     pub(crate) lengths: LengthModel,
     pub(crate) prefixes: PrefixIndex,
@@ -51,19 +51,19 @@
     /// The latest time passed in by callers, as the pool reads no clock.
     pub(crate) now_ms: u64,
     pub(crate) grants: VecDeque<u64>,
-    pub(crate) pace: GrantPace,
+    pub(crate) grant_rate: GrantPace,
     /// The grant rate of each rank.
-    pub(crate) paces: [GrantPace; RANK_COUNT],
+    pub(crate) rank_grant_rates: [GrantPace; RANK_COUNT],
     /// When the first request arrived. Grants wait for the engines' first reports for a limited
     /// time after it.
-    pub(crate) began_ms: Option<u64>,
-    pub(crate) expiry_ms: u64,
+    pub(crate) first_request_ms: Option<u64>,
+    pub(crate) next_expiry_check_ms: u64,
     own_tokens_recorded_ms: u64,
-    pub(crate) heard_ms: HashMap<BoxId, u64>,
+    pub(crate) last_seen_ms: HashMap<BoxId, u64>,
     /// Number of streams with a permit, by box.
     pub(crate) streams_by_box: HashMap<BoxId, usize>,
     /// The boxes whose recent usage this dispatcher charged itself, and since when.
-    pub(crate) known: KnownBoxes,
+    pub(crate) observed_boxes: KnownBoxes,
     pub(crate) usage: Usage,
 }
 
@@ -78,7 +78,7 @@
             by_permit: HashMap::new(),
             queue: Queue::default(),
             tree: new_fair_tree(&settings),
-            outlook: Outlook::default(),
+            admission_forecast: Outlook::default(),
             lengths: LengthModel::default(),
             prefixes: PrefixIndex::default(),
             margin_decayed_ms: 0,
@@ -87,14 +87,14 @@
             pace_book: PaceBook::default(),
             now_ms: 0,
             grants: VecDeque::new(),
-            pace: GrantPace::default(),
-            paces: [GrantPace::default(); RANK_COUNT],
-            began_ms: None,
-            expiry_ms: 0,
+            grant_rate: GrantPace::default(),
+            rank_grant_rates: [GrantPace::default(); RANK_COUNT],
+            first_request_ms: None,
+            next_expiry_check_ms: 0,
             own_tokens_recorded_ms: 0,
-            heard_ms: HashMap::new(),
+            last_seen_ms: HashMap::new(),
             streams_by_box: HashMap::new(),
-            known: KnownBoxes::default(),
+            observed_boxes: KnownBoxes::default(),
             usage: Usage::default(),
             settings,
         }
@@ -108,7 +108,7 @@
     /// Queues a request that was queued before, at another dispatcher or until its grant did not
     /// reach its box. It is not refused now, as this dispatcher may know less about answer lengths
     /// and the grant rate: it waits until it is granted or expires.
-    pub fn submit_again(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
+    pub fn resubmit(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
         self.enqueue(demand, true, now_ms)
     }
 
@@ -119,8 +119,8 @@
         now_ms: u64,
     ) -> SubmitOutcome {
         self.now_ms = self.now_ms.max(now_ms);
-        self.heard_ms.insert(demand.permit.entry, now_ms);
-        self.known.heard(demand.permit.entry, now_ms);
+        self.last_seen_ms.insert(demand.permit.entry, now_ms);
+        self.observed_boxes.heard(demand.permit.entry, now_ms);
         self.tree.pass(now_ms);
         if self.by_permit.contains_key(&demand.permit) || self.queue.contains(demand.permit) {
             return SubmitOutcome::Queued { position: 0 };
@@ -152,7 +152,7 @@
     /// Removes a queued request, or releases its permit if it was granted meanwhile.
     pub fn withdraw(&mut self, permit: PermitId) {
         if let Some(demand) = self.queue.remove(permit) {
-            self.outlook.errors.left(permit);
+            self.admission_forecast.errors.left(permit);
             self.tree.leaves(&demand.share);
         } else {
             self.release(permit, 0, StreamEnd::Censored);
@@ -160,10 +160,10 @@
     }
 
     /// Grants the requests that fit and refuses those that waited too long.
-    pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
+    pub fn schedule(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         self.now_ms = self.now_ms.max(now_ms);
         self.tree.pass(now_ms);
-        self.pace.pass(self.queue.len() > 0, now_ms);
+        self.grant_rate.pass(self.queue.len() > 0, now_ms);
         self.record_queued_ranks(now_ms);
         let mut verdicts = self.expire(now_ms);
         self.record_own_tokens(now_ms);
@@ -188,9 +188,9 @@
                 skipped.insert(queue_key);
                 continue;
             }
-            let choice = self.choose(queue_key, now_ms, &reserved);
+            let choice = self.choose_engine(queue_key, now_ms, &reserved);
             let Some(target) = choice.best_engine else {
-                self.reserve(queue_key, &choice.nearest, &mut reserved, now_ms);
+                self.reserve_engines(queue_key, &choice.nearest, &mut reserved, now_ms);
                 blocked.get_or_insert(queue_key);
                 skipped.insert(queue_key);
                 continue;
@@ -207,7 +207,7 @@
     /// Records for each rank whether requests are queued.
     fn record_queued_ranks(&mut self, now_ms: u64) {
         let waits = self.queue.ranks();
-        for (pace, waits) in self.paces.iter_mut().zip(waits) {
+        for (pace, waits) in self.rank_grant_rates.iter_mut().zip(waits) {
             pace.pass(waits, now_ms);
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// Number of engine lookups since the pool was created, a measure of the cost of its decisions.
-    pub fn engines_looked_at(&self) -> u64 {
+    pub fn engines_checked(&self) -> u64 {
         self.engines.checks()
     }
 
@@ -229,8 +229,8 @@
     }
 
     fn grant(&mut self, demand: Demand, target: TargetId, now_ms: u64) {
-        self.pace.granted();
-        self.paces[usize::from(demand.clamped_rank())].granted();
+        self.grant_rate.granted();
+        self.rank_grant_rates[usize::from(demand.clamped_rank())].granted();
         self.grants.push_back(now_ms);
         while self
             .grants
@@ -250,10 +250,10 @@
         if let Some(ledger) = self.engine_mut(target) {
             ledger.record_placement(now_ms);
         }
-        self.place(demand, target, 0, now_ms);
+        self.place_stream(demand, target, 0, now_ms);
     }
 
-    pub(crate) fn place(
+    pub(crate) fn place_stream(
         &mut self,
         demand: Demand,
         target: TargetId,
@@ -279,7 +279,7 @@
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
         let used_tokens = f64::from(prompt_tokens + generated_tokens);
         self.tree.holds(&stream.share, used_tokens);
-        self.outlook.room.placed(&forecast);
+        self.admission_forecast.room.placed(&forecast);
         *self.streams_by_box.entry(permit.entry).or_default() += 1;
         let key = self.streams.insert(stream);
         self.by_permit.insert(permit, key);
--- a/components/policy/src/pool_size_tests.rs
+++ b/components/policy/src/pool_size_tests.rs
@@ -47,9 +47,9 @@
         pool.submit(demand(serial), now_ms),
         SubmitOutcome::Queued { position: 0 }
     );
-    assert_eq!(pool.run(now_ms).len(), 1);
+    assert_eq!(pool.schedule(now_ms).len(), 1);
     if let Some(prefilled) = serial.checked_sub(20) {
-        pool.progress(demand(prefilled).permit, 1, now_ms);
+        pool.record_progress(demand(prefilled).permit, 1, now_ms);
     }
     if let Some(ended) = serial.checked_sub(DURATION_MS / ARRIVAL_INTERVAL_MS) {
         pool.release(demand(ended).permit, 300, StreamEnd::Finished);
@@ -60,9 +60,9 @@
 fn checks_per_request(engines: u64) -> u64 {
     let mut pool = pool(engines);
     (0..600).for_each(|serial| step(&mut pool, serial));
-    let before = pool.engines_looked_at();
+    let before = pool.engines_checked();
     (600..1_200).for_each(|serial| step(&mut pool, serial));
-    (pool.engines_looked_at() - before) / 600
+    (pool.engines_checked() - before) / 600
 }
 
 #[rstest]
@@ -78,19 +78,19 @@
 #[case::engines_10_000(10_000)]
 fn updating_the_engine_list_checks_each_engine_a_few_times(#[case] engines: u64) {
     let mut pool = pool(engines);
-    let before = pool.engines_looked_at();
+    let before = pool.engines_checked();
     pool.set_engines(&(0..engines).map(info).collect::<Vec<_>>());
-    let checks = pool.engines_looked_at() - before;
+    let checks = pool.engines_checked() - before;
     assert!(checks <= 4 * engines, "{checks}");
 }
 
 #[test]
 fn changing_one_engine_checks_no_others() {
     let mut pool = pool(10_000);
-    let before = pool.engines_looked_at();
+    let before = pool.engines_checked();
     pool.set_state(TargetId(9_000), EngineState::Leaving);
     pool.set_state(TargetId(9_000), EngineState::Live);
-    let checks = pool.engines_looked_at() - before;
+    let checks = pool.engines_checked() - before;
     assert!(checks <= 8, "{checks}");
 }
 
@@ -99,7 +99,7 @@
     let mut pool = pool(10_000);
     step(&mut pool, 0);
     let from = pool.target_of(demand(0).permit).unwrap();
-    let before = pool.engines_looked_at();
+    let before = pool.engines_checked();
     let relocation = Relocation {
         permit: demand(0).permit,
         from,
@@ -109,6 +109,6 @@
     };
     let to = pool.relocate(&relocation, 50).unwrap();
     assert_ne!(to, from);
-    let checks = pool.engines_looked_at() - before;
+    let checks = pool.engines_checked() - before;
     assert!(checks <= 200, "{checks}");
 }
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -24,7 +24,7 @@
         .collect();
     pool.set_engines(&infos);
     for (id, _) in engines {
-        pool.report(*id, EngineReport::default(), 0);
+        pool.apply_report(*id, EngineReport::default(), 0);
     }
     pool
 }
@@ -79,7 +79,7 @@
     let mut pool = pool(&[(ENGINE, 10_000), (OTHER_ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 1000), 0);
     pool.submit(demand(2, 1, 1000), 0);
-    let grants = granted(&pool.run(0));
+    let grants = granted(&pool.schedule(0));
     assert_ne!(grants[0].1, grants[1].1);
 }
 
@@ -89,9 +89,9 @@
     for serial in 1..=3 {
         pool.submit(demand(serial, 1, 1000), 0);
     }
-    assert_eq!(granted(&pool.run(0)).len(), 1);
+    assert_eq!(granted(&pool.schedule(0)).len(), 1);
     pool.release(permit(1), 10, StreamEnd::Finished);
-    assert_eq!(granted(&pool.run(1)).len(), 1);
+    assert_eq!(granted(&pool.schedule(1)).len(), 1);
 }
 
 #[test]
@@ -103,12 +103,12 @@
     };
     pool.submit(patient(1, 600), 0);
     pool.submit(patient(2, 600), 0);
-    assert_eq!(granted(&pool.run(0)).len(), 2);
+    assert_eq!(granted(&pool.schedule(0)).len(), 2);
     pool.submit(patient(3, 1700), 0);
     let late_ms = PoolSettings::default().pass_limit_ms + 1;
     pool.submit(patient(4, 100), late_ms);
     pool.submit(patient(5, 100), late_ms);
-    let small = granted(&pool.run(late_ms));
+    let small = granted(&pool.schedule(late_ms));
     assert_eq!(small.len(), 2);
     assert_eq!(small[0].1, small[1].1);
     let reserved = if small[0].1 == ENGINE {
@@ -123,7 +123,7 @@
         .collect();
     assert_eq!(on_reserved.len(), 1);
     pool.release(on_reserved[0], 10, StreamEnd::Finished);
-    assert_eq!(granted(&pool.run(late_ms + 1)), [(3, reserved)]);
+    assert_eq!(granted(&pool.schedule(late_ms + 1)), [(3, reserved)]);
 }
 
 #[test]
@@ -137,18 +137,18 @@
     };
     pool.set_engines(&[info]);
     pool.submit(demand(1, 1, 100), 0);
-    assert!(granted(&pool.run(0)).is_empty());
+    assert!(granted(&pool.schedule(0)).is_empty());
     let full = EngineReport {
         memory_share: 0.95,
         ..EngineReport::default()
     };
-    pool.report(ENGINE, full, 10);
-    assert!(granted(&pool.run(10)).is_empty());
-    pool.report(ENGINE, EngineReport::default(), 20);
+    pool.apply_report(ENGINE, full, 10);
+    assert!(granted(&pool.schedule(10)).is_empty());
+    pool.apply_report(ENGINE, EngineReport::default(), 20);
     for at_ms in 20..60 {
-        pool.report(ENGINE, EngineReport::default(), at_ms);
+        pool.apply_report(ENGINE, EngineReport::default(), at_ms);
     }
-    assert_eq!(granted(&pool.run(60)).len(), 1);
+    assert_eq!(granted(&pool.schedule(60)).len(), 1);
 }
 
 #[test]
@@ -160,12 +160,12 @@
         ..demand(1, 1, 1000)
     };
     pool.submit(short, 0);
-    pool.run(0);
+    pool.schedule(0);
     assert!(matches!(
         pool.submit(demand(2, 1, 1000), 0),
         SubmitOutcome::Queued { .. }
     ));
-    let verdicts = pool.run(1000);
+    let verdicts = pool.schedule(1000);
     let Verdict::Refused(refusal) = verdicts[0].1 else {
         panic!("{verdicts:?}");
     };
@@ -186,7 +186,7 @@
             pool.submit(next, now_ms),
             SubmitOutcome::Refused(_)
         ));
-        pool.run(now_ms);
+        pool.schedule(now_ms);
         if serial % 5 == 4 {
             let held: Vec<PermitId> = pool.by_permit.keys().copied().collect();
             held.into_iter()
@@ -223,13 +223,13 @@
         ..EngineReport::default()
     };
     for at_ms in 0..50 {
-        pool.run(at_ms * 100);
-        pool.report(ENGINE, report, at_ms * 100);
+        pool.schedule(at_ms * 100);
+        pool.apply_report(ENGINE, report, at_ms * 100);
     }
     let mut late = demand(1, 1, 1000);
     late.deadline_ms = 99_000;
     pool.submit(late, 5000);
-    assert!(granted(&pool.run(5000)).is_empty());
+    assert!(granted(&pool.schedule(5000)).is_empty());
 }
 
 #[test]
@@ -240,23 +240,23 @@
         incarnation: TargetIncarnation(1),
         ..EngineReport::default()
     };
-    pool.report(ENGINE, report(0), 0);
+    pool.apply_report(ENGINE, report(0), 0);
     let before = pool.margin;
-    pool.report(ENGINE, report(3), 1);
+    pool.apply_report(ENGINE, report(3), 1);
     assert!(pool.margin > before);
 }
 
 #[test]
 fn progress_of_an_unknown_permit_is_rejected_until_the_stream_is_adopted() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
-    assert!(!pool.progress(permit(1), 5, 0));
+    assert!(!pool.record_progress(permit(1), 5, 0));
     let adopted = RunningStream {
         demand: demand(1, 1, 100),
         target: ENGINE,
         generated_tokens: 5,
     };
     pool.adopt(adopted, 0);
-    assert!(pool.progress(permit(1), 6, 0));
+    assert!(pool.record_progress(permit(1), 6, 0));
     assert_eq!(pool.view(0).engines[0].streams, 1);
 }
 
@@ -264,8 +264,8 @@
 fn releases_the_permits_of_a_silent_box() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 100), 0);
-    pool.run(0);
-    pool.forget_silent(BOX_TIMEOUT_MS + 1);
+    pool.schedule(0);
+    pool.expire_silent_boxes(BOX_TIMEOUT_MS + 1);
     assert_eq!(pool.view(0).engines[0].streams, 0);
 }
 
@@ -284,7 +284,7 @@
                 pool.submit(next, round);
             }
         }
-        for (permit, _) in granted(&pool.run(round))
+        for (permit, _) in granted(&pool.schedule(round))
             .into_iter()
             .map(|(s, t)| (permit(s), t))
         {
@@ -302,11 +302,11 @@
     let mut pool = pool(&[(ENGINE, 2_500)]);
     pool.submit(demand(1, 1, 1_000), 0);
     pool.submit(demand(2, 1, 1_000), 0);
-    assert_eq!(granted(&pool.run(0)).len(), 2);
+    assert_eq!(granted(&pool.schedule(0)).len(), 2);
     // The box lists its open streams while the second permit is still in flight to it.
     let reported = HashSet::from([permit(1)]);
-    pool.keep_only(permit(1).entry, &reported, 10);
+    pool.reconcile_permits(permit(1).entry, &reported, 10);
     assert_eq!(pool.streams_of(permit(1).entry), 2);
-    pool.keep_only(permit(1).entry, &reported, 1_000);
+    pool.reconcile_permits(permit(1).entry, &reported, 1_000);
     assert_eq!(pool.streams_of(permit(1).entry), 1);
 }
--- a/components/policy/src/streams.rs
+++ b/components/policy/src/streams.rs
@@ -10,17 +10,17 @@
 
 impl Pool {
     /// Whether a stream holds this permit and has not generated a token yet.
-    pub fn waits_for_first_token(&self, permit: PermitId) -> bool {
+    pub fn awaits_first_token(&self, permit: PermitId) -> bool {
         let stream = self.by_permit.get(&permit);
         let stream = stream.and_then(|key| self.streams.get(*key));
         stream.is_some_and(|stream| stream.generated_tokens == 0)
     }
 
     /// Records the progress of a stream. Returns false if its permit is unknown.
-    pub fn progress(&mut self, permit: PermitId, tokens: u32, now_ms: u64) -> bool {
+    pub fn record_progress(&mut self, permit: PermitId, tokens: u32, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
-        self.heard_ms.insert(permit.entry, now_ms);
-        self.known.heard(permit.entry, now_ms);
+        self.last_seen_ms.insert(permit.entry, now_ms);
+        self.observed_boxes.heard(permit.entry, now_ms);
         let Some(key) = self.by_permit.get(&permit).copied() else {
             return false;
         };
@@ -36,14 +36,14 @@
         stream.progress_ms = now_ms;
         let (share, class, target) = (stream.share, stream.class, stream.target);
         if previous_tokens == 0 {
-            self.outlook.errors.first_token(permit, now_ms);
+            self.admission_forecast.errors.first_token(permit, now_ms);
             self.record_prefill(key, target);
         }
         if previous_tokens > 0 && elapsed_ms > 0 {
             let pace = f64::from(tokens - previous_tokens) / elapsed_ms as f64;
             self.tokens_per_ms += PACE_WEIGHT * (pace - self.tokens_per_ms);
         }
-        self.learn(class, previous_tokens, tokens, None);
+        self.record_length(class, previous_tokens, tokens, None);
         self.tree.holds(&share, f64::from(tokens - previous_tokens));
         true
     }
@@ -61,12 +61,12 @@
         let tokens = tokens.max(previous_tokens);
         let now_ms = self.now_ms;
         if previous_tokens == 0 && tokens > 0 {
-            self.outlook.errors.first_token(permit, now_ms);
+            self.admission_forecast.errors.first_token(permit, now_ms);
             self.record_prefill(key, stream.target);
         }
-        self.outlook.errors.left(permit);
+        self.admission_forecast.errors.left(permit);
         self.engines.remove_stream(stream.target, key, now_ms);
-        self.learn(stream.class, previous_tokens, tokens, Some(end));
+        self.record_length(stream.class, previous_tokens, tokens, Some(end));
         let used_tokens = stream.prompt_tokens + previous_tokens;
         self.tree.holds(&stream.share, -f64::from(used_tokens));
         self.tree.ends(&stream.share);
@@ -85,7 +85,7 @@
         self.prefill_rate = rate;
     }
 
-    pub(crate) fn learn(
+    pub(crate) fn record_length(
         &mut self,
         class: LengthClass,
         previous_tokens: u32,
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -126,7 +126,7 @@
         if now_ms < self.grants_from_ms {
             return;
         }
-        for (permit, verdict) in self.pool.run(now_ms) {
+        for (permit, verdict) in self.pool.schedule(now_ms) {
             let Some(waiting) = self.waiting.remove(&permit) else {
                 continue;
             };
@@ -229,7 +229,7 @@
             dispatcher.waiting.insert(request.permit, waiting);
             // It is asked with a time to wait once a dispatcher let it wait.
             let taken = match wait_ms > 0 {
-                true => dispatcher.pool.submit_again(demand.clone(), now_ms),
+                true => dispatcher.pool.resubmit(demand.clone(), now_ms),
                 false => dispatcher.pool.submit(demand.clone(), now_ms),
             };
             match taken {
@@ -284,8 +284,8 @@
             for progress in &request.progress {
                 let permit = permit(progress.serial);
                 self.gaps_told(pool, permit, &progress.gaps, now_ms);
-                let is_first = pool.waits_for_first_token(permit) && progress.tokens > 0;
-                known &= pool.progress(permit, progress.tokens, now_ms);
+                let is_first = pool.awaits_first_token(permit) && progress.tokens > 0;
+                known &= pool.record_progress(permit, progress.tokens, now_ms);
                 self.made_event(pool.target_of(permit), is_first, now_ms);
             }
             for ended in &request.ended {
@@ -298,13 +298,13 @@
                 if ended.tokens > 0 {
                     let (target, is_first) = (
                         pool.target_of(permit(ended.serial)),
-                        pool.waits_for_first_token(permit(ended.serial)),
+                        pool.awaits_first_token(permit(ended.serial)),
                     );
                     self.made_event(target, is_first, now_ms);
                 }
                 pool.release(permit(ended.serial), ended.tokens, end);
             }
-            pool.forget_silent(now_ms);
+            pool.expire_silent_boxes(now_ms);
             let resync = !known || pool.streams_of(request.from) != request.open_streams as usize;
             dispatcher.decide(now_ms);
             UpdateReply { resync }
@@ -325,7 +325,7 @@
             let kept: HashSet<PermitId> = demands.iter().map(|(d, _)| d.permit).collect();
             let was_away = dispatcher.pool.adopt_use(from, &used, now_ms);
             let says_again = was_away && dispatcher.dispatched_elsewhere(now_ms);
-            dispatcher.pool.keep_only(from, &kept, now_ms);
+            dispatcher.pool.reconcile_permits(from, &kept, now_ms);
             for (demand, stream) in demands {
                 let adopted = RunningStream {
                     demand,
@@ -354,7 +354,7 @@
     fn show_forecasts(&self) {
         for dispatcher in self.dispatchers.borrow().values() {
             metrics::gauge!("shuntpier_engines_looked_at")
-                .set(dispatcher.pool.engines_looked_at() as f64);
+                .set(dispatcher.pool.engines_checked() as f64);
             for (rank, correction) in dispatcher.pool.forecast_corrections() {
                 let rank = rank.to_string();
                 metrics::gauge!("shuntpier_forecast_correction", "rank" => rank).set(correction);
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -113,7 +113,7 @@
                         let engine = service.engine(&targets, target, now_ms);
                         engine.set_in(&mut dispatcher.pool, now_ms);
                     }
-                    None => dispatcher.pool.drop_engine(*id),
+                    None => dispatcher.pool.remove_engine(*id),
                 }
             }
             dispatcher.decide(now_ms);
--- a/components/relay/src/dispatch/relocation.rs
+++ b/components/relay/src/dispatch/relocation.rs
@@ -16,7 +16,7 @@
 impl Dispatcher {
     fn relocate(&mut self, request: &RelocateRequest, now_ms: u64) -> RelocateReply {
         let (permit, from) = (request.permit, request.from);
-        let Some(held_tokens) = self.pool.held_tokens(permit) else {
+        let Some(held_tokens) = self.pool.tokens_in_use(permit) else {
             return RelocateReply::NotKnown;
         };
         let asked = self.turns.as_mut();
--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -45,7 +45,7 @@
             self.pool.withdraw(*permit);
         }
         if !gone.is_empty() {
-            self.pool.forget_grant_pace();
+            self.pool.reset_grant_rate();
         }
     }
 }
--- a/components/replay/src/serving.rs
+++ b/components/replay/src/serving.rs
@@ -103,7 +103,7 @@
 
     pub(crate) fn decide(&mut self) {
         let now_ms = self.now_ms();
-        for (permit, verdict) in self.pool.run(now_ms) {
+        for (permit, verdict) in self.pool.schedule(now_ms) {
             let Some(at) = self.by_permit.get(&permit).copied() else {
                 continue;
             };
@@ -217,7 +217,7 @@
             return;
         }
         let now_ms = self.now_ms();
-        self.pool.progress(permit, tokens, now_ms);
+        self.pool.record_progress(permit, tokens, now_ms);
         if ended {
             self.pool.release(permit, tokens, StreamEnd::Finished);
         }
