--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -3,7 +3,7 @@
 
 use crate::shared::{Shared, lock};
 use peers::{ClaimRequest, ClaimResult, KeyOutcome, OutcomeRecord};
-use policy::winner;
+use policy::rendezvous_owner;
 use prelude::{BoxId, BoxIncarnation};
 use services::{
     CLAIM_SLOTS, Claim, ClaimBatcher, ClaimVerdict, PendingClaim, RecordedOutcome, slot_of,
@@ -95,8 +95,8 @@
 fn write_rate(shared: &Shared) -> f64 {
     let members = lock(&shared.members).usable(shared.now_ms());
     let own = shared.card.id;
-    let held =
-        (0..CLAIM_SLOTS).filter(|slot| winner(slot_role(*slot), members.clone()) == Some(own));
+    let held = (0..CLAIM_SLOTS)
+        .filter(|slot| rendezvous_owner(slot_role(*slot), members.clone()) == Some(own));
     let held = held.count().max(1) as f64;
     f64::from(shared.limits().claim_writes_per_s) * held / CLAIM_SLOTS as f64
 }
@@ -294,7 +294,7 @@
 /// The box that records a claim, as this box sees it.
 fn holder(shared: &Shared, fingerprint: u128) -> BoxId {
     let members = lock(&shared.members).usable(shared.now_ms());
-    winner(slot_of(fingerprint), members).unwrap_or(shared.card.id)
+    rendezvous_owner(slot_of(fingerprint), members).unwrap_or(shared.card.id)
 }
 
 /// Claims a key, through the holder of its slot; where that cannot be reached, directly.
--- a/components/node/src/desk.rs
+++ b/components/node/src/desk.rs
@@ -83,7 +83,7 @@
         inner.policy = settings.policy;
         inner
             .local
-            .set_kind(settings.policy, settings.concurrency_limit);
+            .set_policy(settings.policy, settings.concurrency_limit);
         inner.local.set_targets(targets);
     }
 
@@ -124,7 +124,9 @@
     }
 
     pub fn report(&self, target: TargetId, running: u32, waiting: u32) {
-        lock(&self.inner).local.report(target, running, waiting);
+        lock(&self.inner)
+            .local
+            .apply_report(target, running, waiting);
     }
 
     /// Asks the local view for a place.
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -6,7 +6,7 @@
 use crate::spread::spread_target;
 use engines::OrderError;
 use peers::{StateOfTarget, TargetWord};
-use policy::winner;
+use policy::rendezvous_owner;
 use prelude::TargetId;
 use settings::{ResolvedTarget, TargetKind};
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
 
 fn is_holder(shared: &Shared, target: TargetId) -> bool {
     let members = lock(&shared.members).usable(shared.now_ms());
-    winner(target.0, members) == Some(shared.card.id)
+    rendezvous_owner(target.0, members) == Some(shared.card.id)
 }
 
 /// Gives one order. True where it, or a later one, was taken.
--- a/components/node/src/permits.rs
+++ b/components/node/src/permits.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::{Adopt, Update, Withdraw, acquire_here, dispatcher};
 use crate::shared::{Shared, lock};
 use peers::{AcquireRequest, PeerError, PermitReply, UpdateReply};
-use policy::{Verdict, winner};
+use policy::{Verdict, rendezvous_owner};
 use prelude::{BoxId, PermitId, PoolId, Refusal, RefusalReason, TargetKey};
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 /// The box that dispatches a pool, as this box sees it.
 pub(crate) fn dispatcher_of(shared: &Shared, pool: PoolId) -> Option<BoxId> {
     let members = lock(&shared.members);
-    winner(role(pool), members.usable(shared.now_ms()))
+    rendezvous_owner(role(pool), members.usable(shared.now_ms()))
 }
 
 /// Waits for permission to run a request.
--- a/components/node/src/watcher.rs
+++ b/components/node/src/watcher.rs
@@ -4,7 +4,7 @@
 use crate::shared::{Shared, lock};
 use crate::spread::{exchange_with, spread_settings};
 use peers::SettingsValue;
-use policy::ranked;
+use policy::rendezvous_order;
 use rand::Rng;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     let own = lock(&shared.members).own();
     let near = lock(&shared.members).usable_in(own.data_centre, shared.now_ms());
     let role = xxh3_64(&own.data_centre.0.to_le_bytes());
-    ranked(role, near)
+    rendezvous_order(role, near)
         .into_iter()
         .take(WATCHERS)
         .any(|id| id == own.id)
@@ -46,7 +46,9 @@
     let centre = data_centres.iter().position(|id| *id == own.data_centre);
     let near = members.usable_in(own.data_centre, now_ms);
     let role = xxh3_64(&own.data_centre.0.to_le_bytes());
-    let rank = ranked(role, near).into_iter().position(|id| id == own.id);
+    let rank = rendezvous_order(role, near)
+        .into_iter()
+        .position(|id| id == own.id);
     let turn = rank.unwrap_or(0) * data_centres.len() + centre.unwrap_or(0);
     SPREAD_TURN * turn.min(SPREAD_TURNS_MAX) as u32
 }
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -54,7 +54,7 @@
     /// Removes an engine. Its streams lose their permits.
     pub fn remove_engine(&mut self, target: TargetId) {
         self.set_state(target, EngineState::Gone);
-        self.prefixes.forget(target);
+        self.prefixes.remove_engine(target);
         self.rate_limited.remove(&target);
         self.engines.remove(target);
         self.sync_capacity();
@@ -117,7 +117,8 @@
         stored: bool,
         now_ms: u64,
     ) {
-        self.prefixes.event(target, seq, prefix, stored, now_ms);
+        self.prefixes
+            .apply_event(target, seq, prefix, stored, now_ms);
     }
 
     /// Sequence number of the last cache event received from an engine.
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -17,16 +17,16 @@
     /// Whether it takes new work.
     pub state: EngineState,
     /// Streams that this box has open there.
-    pub own_open: u32,
+    pub open_streams: u32,
     /// Streams that this box opened since the last report.
-    pub own_since_report: u32,
+    pub opened_since_report: u32,
     /// Requests that run or wait there according to its last report.
-    pub reported: u32,
+    pub reported_requests: u32,
 }
 
 impl LocalTarget {
     fn load(&self) -> u32 {
-        (self.reported + self.own_since_report).max(self.own_open)
+        (self.reported_requests + self.opened_since_report).max(self.open_streams)
     }
 }
 
@@ -64,7 +64,7 @@
     }
 
     /// Changes the policy and the limit.
-    pub fn set_kind(&mut self, kind: PolicyKind, limit: u32) {
+    pub fn set_policy(&mut self, kind: PolicyKind, limit: u32) {
         self.kind = kind;
         self.limit = limit;
     }
@@ -77,9 +77,9 @@
             let target = target.get_or_insert(LocalTarget {
                 id: *id,
                 state: *state,
-                own_open: 0,
-                own_since_report: 0,
-                reported: 0,
+                open_streams: 0,
+                opened_since_report: 0,
+                reported_requests: 0,
             });
             target.state = *state;
             self.targets.push(*target);
@@ -87,10 +87,10 @@
     }
 
     /// Applies an engine's report.
-    pub fn report(&mut self, target: TargetId, running: u32, waiting: u32) {
+    pub fn apply_report(&mut self, target: TargetId, running: u32, waiting: u32) {
         if let Some(known) = self.target_mut(target) {
-            known.reported = running + waiting;
-            known.own_since_report = 0;
+            known.reported_requests = running + waiting;
+            known.opened_since_report = 0;
         }
     }
 
@@ -137,15 +137,15 @@
     /// Records a stream that was opened here or by a dispatcher's grant.
     pub fn opened(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
-            known.own_open += 1;
-            known.own_since_report += 1;
+            known.open_streams += 1;
+            known.opened_since_report += 1;
         }
     }
 
     /// Records that a stream ended.
     pub fn closed(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
-            known.own_open = known.own_open.saturating_sub(1);
+            known.open_streams = known.open_streams.saturating_sub(1);
         }
     }
 
@@ -188,7 +188,9 @@
                 candidates[self.next % candidates.len()]
             }
             PolicyKind::LeastLoad => {
-                let least = candidates.iter().min_by_key(|target| target.reported);
+                let least = candidates
+                    .iter()
+                    .min_by_key(|target| target.reported_requests);
                 *least.unwrap_or(&candidates[0])
             }
             PolicyKind::TwoChoices | PolicyKind::Shuntpier | PolicyKind::Oracle => {
--- a/components/policy/src/placement/local_tests.rs
+++ b/components/policy/src/placement/local_tests.rs
@@ -29,7 +29,7 @@
     let mut pool = pool(kind, 2);
     assert_eq!(submit(&mut pool, 10), 6);
     pool.closed(TargetId(1));
-    pool.report(TargetId(1), 1, 0);
+    pool.apply_report(TargetId(1), 1, 0);
     assert_eq!(pool.schedule(1).len(), 1);
 }
 
@@ -45,5 +45,5 @@
 fn round_robin_spreads_streams_evenly() {
     let mut pool = pool(PolicyKind::RoundRobin, 0);
     submit(&mut pool, 9);
-    assert!(pool.targets().iter().all(|target| target.own_open == 3));
+    assert!(pool.targets().iter().all(|target| target.open_streams == 3));
 }
--- a/components/policy/src/placement/prefixes.rs
+++ b/components/policy/src/placement/prefixes.rs
@@ -27,7 +27,14 @@
 impl PrefixIndex {
     /// Applies a cache event of an engine. A gap in `seq` means that events were lost, which may
     /// have removed prefixes, so all hints for that engine lose confidence.
-    pub fn event(&mut self, target: TargetId, seq: u64, prefix: u64, stored: bool, now_ms: u64) {
+    pub fn apply_event(
+        &mut self,
+        target: TargetId,
+        seq: u64,
+        prefix: u64,
+        stored: bool,
+        now_ms: u64,
+    ) {
         let previous_seq = self
             .last_seq
             .insert(target, seq)
@@ -36,14 +43,14 @@
             self.reduce_confidence(target);
         }
         if stored {
-            self.note(target, prefix, now_ms);
+            self.record_prompt(target, prefix, now_ms);
         } else {
             self.hints.remove(&(target, prefix));
         }
     }
 
     /// Records that a prompt with this prefix was sent to an engine.
-    pub fn note(&mut self, target: TargetId, prefix: u64, now_ms: u64) {
+    pub fn record_prompt(&mut self, target: TargetId, prefix: u64, now_ms: u64) {
         if self.hints.len() >= ENTRIES_MAX {
             self.drop_oldest();
         }
@@ -55,7 +62,7 @@
     }
 
     /// Removes an engine.
-    pub fn forget(&mut self, target: TargetId) {
+    pub fn remove_engine(&mut self, target: TargetId) {
         self.hints.retain(|(holder, _), _| *holder != target);
         self.last_seq.remove(&target);
     }
--- a/components/policy/src/placement/relocate.rs
+++ b/components/policy/src/placement/relocate.rs
@@ -26,9 +26,9 @@
     /// Engines to avoid because they had no room or could not be reached.
     pub avoid: &'a [TargetId],
     /// Engines that are receiving copies.
-    pub arriving: &'a [TargetId],
+    pub inbound: &'a [TargetId],
     /// Whether the generation can stay where it is, so that it moves only if there is ample room.
-    pub may_stay: bool,
+    pub is_optional: bool,
 }
 
 impl Pool {
@@ -40,8 +40,8 @@
             permit,
             from,
             avoid,
-            arriving,
-            may_stay,
+            inbound,
+            is_optional,
         } = *relocation;
         let key = *self.by_permit.get(&permit)?;
         let stream = self.streams.get(key)?;
@@ -89,7 +89,7 @@
                 continue;
             }
             let free = ledger.free_tokens(&context, &forecast);
-            let required_free = match may_stay {
+            let required_free = match is_optional {
                 true => ledger.info.capacity_tokens as f64 * OPTIONAL_MOVE_FREE_SHARE,
                 false => 0.0,
             };
@@ -97,7 +97,7 @@
                 continue;
             }
             let near_factor = f64::from(u8::from(data_centre == Some(ledger.info.data_centre)));
-            let inbound_copies = arriving.iter().filter(|other| **other == id).count() as f64;
+            let inbound_copies = inbound.iter().filter(|other| **other == id).count() as f64;
             let pause_cost = pauses.pause_tokens(ledger, &pausing);
             let score = free + near_factor * near_bonus
                 - inbound_copies * INBOUND_COPY_COST_TOKENS
--- a/components/policy/src/placement/relocate_tests.rs
+++ b/components/policy/src/placement/relocate_tests.rs
@@ -59,22 +59,22 @@
 }
 
 /// The engine chosen for the generation.
-fn relocate(avoid: &[TargetId], arriving: &[TargetId]) -> Option<TargetId> {
-    relocate_in(&mut pool(), avoid, arriving, false)
+fn relocate(avoid: &[TargetId], inbound: &[TargetId]) -> Option<TargetId> {
+    relocate_in(&mut pool(), avoid, inbound, false)
 }
 
 fn relocate_in(
     pool: &mut Pool,
     avoid: &[TargetId],
-    arriving: &[TargetId],
-    may_stay: bool,
+    inbound: &[TargetId],
+    is_optional: bool,
 ) -> Option<TargetId> {
     let relocation = Relocation {
         permit: PERMIT,
         from: FROM,
         avoid,
-        arriving,
-        may_stay,
+        inbound,
+        is_optional,
     };
     pool.relocate(&relocation, 0)
 }
--- a/components/policy/src/placement/rendezvous.rs
+++ b/components/policy/src/placement/rendezvous.rs
@@ -9,14 +9,14 @@
 }
 
 /// The member that owns `role`; `None` without members.
-pub fn winner(role: u64, members: impl IntoIterator<Item = BoxId>) -> Option<BoxId> {
+pub fn rendezvous_owner(role: u64, members: impl IntoIterator<Item = BoxId>) -> Option<BoxId> {
     members
         .into_iter()
         .max_by_key(|member| (score(role, *member), *member))
 }
 
 /// All members in the order in which they would own `role`.
-pub fn ranked(role: u64, members: impl IntoIterator<Item = BoxId>) -> Vec<BoxId> {
+pub fn rendezvous_order(role: u64, members: impl IntoIterator<Item = BoxId>) -> Vec<BoxId> {
     let mut members: Vec<BoxId> = members.into_iter().collect();
     members.sort_by_key(|member| std::cmp::Reverse((score(role, *member), *member)));
     members
--- a/components/policy/src/placement/rendezvous_tests.rs
+++ b/components/policy/src/placement/rendezvous_tests.rs
@@ -5,8 +5,8 @@
     let all: Vec<BoxId> = (1..=8).map(BoxId).collect();
     let fewer: Vec<BoxId> = all.iter().copied().filter(|id| id.0 != 3).collect();
     for role in 0..200 {
-        let before = winner(role, all.clone()).unwrap();
-        let after = winner(role, fewer.clone()).unwrap();
+        let before = rendezvous_owner(role, all.clone()).unwrap();
+        let after = rendezvous_owner(role, fewer.clone()).unwrap();
         assert!(before == after || before == BoxId(3));
     }
 }
@@ -14,5 +14,8 @@
 #[test]
 fn the_owner_is_first_in_the_order() {
     let all: Vec<BoxId> = (1..=8).map(BoxId).collect();
-    assert_eq!(ranked(7, all.clone()).first().copied(), winner(7, all));
+    assert_eq!(
+        rendezvous_order(7, all.clone()).first().copied(),
+        rendezvous_owner(7, all)
+    );
 }
--- a/components/policy/src/placement/links.rs
+++ b/components/policy/src/placement/transfer_slots.rs
@@ -24,13 +24,19 @@
 
 /// The transfer slots of all links that generations leave.
 #[derive(Clone, Debug, Default)]
-pub struct Turns(HashMap<TargetId, Link>);
+pub struct TransferSlots(HashMap<TargetId, Link>);
 
-impl Turns {
+impl TransferSlots {
     /// Tries to acquire the slot on the link of `from`. Waiters with the smallest copy go first, so
     /// that the most generations leave in time. Returns true if the slot is available or already
     /// held.
-    pub fn ask(&mut self, from: TargetId, permit: PermitId, copy_tokens: u32, now_ms: u64) -> bool {
+    pub fn try_acquire(
+        &mut self,
+        from: TargetId,
+        permit: PermitId,
+        copy_tokens: u32,
+        now_ms: u64,
+    ) -> bool {
         let link = self.0.entry(from).or_default();
         link.waiting
             .retain(|_, waiting| waiting.last_asked_ms + WAITER_TTL_MS > now_ms);
@@ -67,13 +73,13 @@
     }
 
     /// Records that a copy to `to` takes the slot.
-    pub fn begin(&mut self, from: TargetId, permit: PermitId, to: TargetId, now_ms: u64) {
+    pub fn start_transfer(&mut self, from: TargetId, permit: PermitId, to: TargetId, now_ms: u64) {
         let link = self.0.entry(from).or_default();
         link.holder = Some((permit, to, now_ms + SLOT_TIMEOUT_MS));
     }
 
     /// Releases the slot, or withdraws a waiter.
-    pub fn end(&mut self, from: TargetId, permit: PermitId) {
+    pub fn release(&mut self, from: TargetId, permit: PermitId) {
         let Some(link) = self.0.get_mut(&from) else {
             return;
         };
@@ -87,7 +93,7 @@
     }
 
     /// The engines that are receiving copies.
-    pub fn arriving(&self, now_ms: u64) -> Vec<TargetId> {
+    pub fn inbound_targets(&self, now_ms: u64) -> Vec<TargetId> {
         let holders = self.0.values().filter_map(|link| link.holder);
         holders
             .filter(|(_, _, until_ms)| now_ms < *until_ms)
@@ -97,5 +103,5 @@
 }
 
 #[cfg(test)]
-#[path = "links_tests.rs"]
+#[path = "transfer_slots_tests.rs"]
 mod tests;
--- a/components/policy/src/placement/warmup.rs
+++ b/components/policy/src/placement/warmup.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records that a request was sent.
-    pub fn sent(&mut self, now_ms: u64) {
+    pub fn record_send(&mut self, now_ms: u64) {
         self.0 = TokenBucket::new(0.0, now_ms);
     }
 }
--- a/components/policy/src/placement/warmup_tests.rs
+++ b/components/policy/src/placement/warmup_tests.rs
@@ -10,7 +10,7 @@
     for now_ms in (0..seconds * 1000).step_by(5) {
         for warmup in &mut warmups {
             if warmup.allows(rate_per_s, boxes, now_ms) {
-                warmup.sent(now_ms);
+                warmup.record_send(now_ms);
                 each_second[(now_ms / 1000) as usize] += 1;
             }
         }
@@ -36,6 +36,6 @@
 #[test]
 fn an_idle_box_sends_no_burst() {
     let mut warmup = Warmup::new(0.0, 0);
-    warmup.sent(60_000);
+    warmup.record_send(60_000);
     assert!(!warmup.allows(25.0, 1, 60_001));
 }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -245,7 +245,7 @@
         let prefill_ms = f64::from(demand.prompt_tokens) / self.prefill_rate.tokens_per_ms();
         self.tree.charge(&demand.share, prefill_ms);
         if let Some((prefix, _)) = demand.prefix {
-            self.prefixes.note(target, prefix, now_ms);
+            self.prefixes.record_prompt(target, prefix, now_ms);
         }
         if let Some(ledger) = self.engine_mut(target) {
             ledger.record_placement(now_ms);
--- a/components/policy/src/pool_size_tests.rs
+++ b/components/policy/src/pool_size_tests.rs
@@ -104,8 +104,8 @@
         permit: demand(0).permit,
         from,
         avoid: &[],
-        arriving: &[],
-        may_stay: false,
+        inbound: &[],
+        is_optional: false,
     };
     let to = pool.relocate(&relocation, 50).unwrap();
     assert_ne!(to, from);
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -6,7 +6,7 @@
 use peers::{AcquireRequest, AdoptedStream, OpenStreams, PermitReply, UpdateReply, UpdateRequest};
 use policy::{
     Demand, LengthClass, Pool, PoolSettings, PrefillPolicy, RunningStream, StreamEnd,
-    SubmitOutcome, Turns, Verdict, WaitingPolicy,
+    SubmitOutcome, TransferSlots, Verdict, WaitingPolicy,
 };
 use prelude::{
     BoxId, DataCentreId, PermitId, PoolId, Refusal, RefusalReason, TargetId, TargetIncarnation,
@@ -40,7 +40,7 @@
     pub(crate) pool: Pool,
     pub(super) waiting: HashMap<PermitId, Waiting>,
     /// None where copies do not go one after another.
-    pub(super) turns: Option<Turns>,
+    pub(super) turns: Option<TransferSlots>,
     /// Nothing is granted before this time.
     pub(super) grants_from_ms: u64,
     /// When boxes were last told that this one dispatches.
@@ -106,7 +106,7 @@
         Self {
             pool: pool_of_settings(file),
             waiting: HashMap::new(),
-            turns: file.has(Mechanism::Turns).then(Turns::default),
+            turns: file.has(Mechanism::Turns).then(TransferSlots::default),
             grants_from_ms: 0,
             said_ms: 0,
             began_ms: now_ms,
--- a/components/relay/src/dispatch/relocation.rs
+++ b/components/relay/src/dispatch/relocation.rs
@@ -20,22 +20,22 @@
             return RelocateReply::NotKnown;
         };
         let asked = self.turns.as_mut();
-        if asked.is_some_and(|turns| !turns.ask(from, permit, held_tokens, now_ms)) {
+        if asked.is_some_and(|turns| !turns.try_acquire(from, permit, held_tokens, now_ms)) {
             return RelocateReply::Wait;
         }
         let arriving = self.turns.as_ref();
-        let arriving = arriving.map_or(Vec::new(), |turns| turns.arriving(now_ms));
+        let arriving = arriving.map_or(Vec::new(), |turns| turns.inbound_targets(now_ms));
         let relocation = Relocation {
             permit,
             from,
             avoid: &request.avoid,
-            arriving: &arriving,
-            may_stay: request.may_stay,
+            inbound: &arriving,
+            is_optional: request.may_stay,
         };
         let found = self.pool.relocate(&relocation, now_ms);
         match (found, &mut self.turns) {
-            (Some(target), Some(turns)) => turns.begin(from, permit, target, now_ms),
-            (None, Some(turns)) => turns.end(from, permit),
+            (Some(target), Some(turns)) => turns.start_transfer(from, permit, target, now_ms),
+            (None, Some(turns)) => turns.release(from, permit),
             (_, None) => {}
         }
         found.map_or(RelocateReply::NoRoom, RelocateReply::Go)
@@ -67,7 +67,7 @@
     pub(crate) fn relocated_here(&self, pool: PoolId, permit: PermitId, from: TargetId) {
         self.with_dispatcher(pool, |dispatcher, _| {
             if let Some(turns) = &mut dispatcher.turns {
-                turns.end(from, permit);
+                turns.release(from, permit);
             }
         });
     }
--- a/components/relay/src/membership/members.rs
+++ b/components/relay/src/membership/members.rs
@@ -4,7 +4,7 @@
 
 use crate::membership::ranking::Ranking;
 use peers::FleetCard;
-use policy::winner;
+use policy::rendezvous_owner;
 use prelude::{BoxId, DataCentreId};
 use rand::seq::SliceRandom;
 use std::cell::{Cell, RefCell};
@@ -283,8 +283,8 @@
         let others = others.map(|member| (member.card.id, place(member)));
         let able = others.chain(me.map(|place| (self.me, place)));
         let near = able.clone().filter(|(_, place)| *place == data_centre);
-        let near = winner(role, near.map(|(id, _)| id));
-        near.or_else(|| winner(role, able.map(|(id, _)| id)))
+        let near = rendezvous_owner(role, near.map(|(id, _)| id));
+        near.or_else(|| rendezvous_owner(role, able.map(|(id, _)| id)))
     }
 
     /// How many boxes can hold a role, this one counted.
--- a/components/relay/src/membership/ranking.rs
+++ b/components/relay/src/membership/ranking.rs
@@ -1,7 +1,7 @@
 //! Who holds a role: worked out where it is asked, and kept until a box changes.
 
 use crate::membership::members::{Members, SILENT_MS};
-use policy::ranked;
+use policy::rendezvous_order;
 use prelude::BoxId;
 use std::rc::Rc;
 
@@ -43,7 +43,8 @@
         let (wide, narrow): (Vec<_>, Vec<_>) = able
             .into_iter()
             .partition(|(_, link)| u64::from(*link) * WIDE_PARTS >= u64::from(widest));
-        let in_order = |boxes: Vec<(BoxId, u32)>| ranked(role, boxes.into_iter().map(|b| b.0));
+        let in_order =
+            |boxes: Vec<(BoxId, u32)>| rendezvous_order(role, boxes.into_iter().map(|b| b.0));
         let mut order = in_order(wide);
         order.extend(in_order(narrow));
         let turns = self.others.values().flat_map(|member| {
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -96,7 +96,7 @@
 
     pub(super) fn sent(self, target: &mut Target, now_ms: u64) {
         if self.rate_per_s.is_some() && now_ms < target.cold_until_ms {
-            target.warmup.sent(now_ms);
+            target.warmup.record_send(now_ms);
         }
     }
 }
--- a/components/replay/src/moves.rs
+++ b/components/replay/src/moves.rs
@@ -89,8 +89,8 @@
             permit,
             from,
             avoid: &[],
-            arriving: &arriving,
-            may_stay: false,
+            inbound: &arriving,
+            is_optional: false,
         };
         let target = self.pool.relocate(&relocation, self.now_us / 1_000)?;
         let to = self.by_id[&target];
