--- a/components/policy/benches/decisions.rs
+++ b/components/policy/benches/decisions.rs
@@ -3,8 +3,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    Demand, End, EngineInfo, EventGaps, LengthClass, Pool, PoolSettings, ReadingPolicy, Share,
-    WaitingPolicy,
+    Demand, EngineInfo, EventGaps, LengthClass, Pool, PoolSettings, PrefillPolicy, Share,
+    StreamEnd, WaitingPolicy,
 };
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 use std::hint::black_box;
@@ -36,13 +36,13 @@
         max_tokens: 1_756,
         rank: if serial.is_multiple_of(3) { 0 } else { 5 },
         pause_goal_ms: Some(180),
-        since_ms: now_ms,
+        arrived_ms: now_ms,
         deadline_ms: now_ms + 1_500,
-        leaves_ms: now_ms + 6_000,
+        caller_deadline_ms: now_ms + 6_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: Some(DataCentreId(serial % 3)),
+        preferred_data_centre: Some(DataCentreId(serial % 3)),
     }
 }
 
@@ -81,14 +81,14 @@
 /// Submits and schedules a request, reports progress of a recent one, and ends the oldest one.
 fn serve_one(pool: &mut Pool, serial: u64, now_ms: u64) {
     black_box(pool.submit(demand(serial, now_ms), now_ms));
-    black_box(pool.run(now_ms));
+    black_box(pool.schedule(now_ms));
     let started = serial.saturating_sub(30);
-    pool.progress(demand(started, 0).permit, 1, now_ms);
+    pool.record_progress(demand(started, 0).permit, 1, now_ms);
     pool.record_event_gaps(demand(started, 0).permit, event_gaps(serial), now_ms);
     let Some(ended) = serial.checked_sub(OPEN_GENERATIONS) else {
         return;
     };
-    pool.release(demand(ended, 0).permit, 300, End::Finished);
+    pool.release(demand(ended, 0).permit, 300, StreamEnd::Finished);
 }
 
 fn decisions_by_policy(criterion: &mut Criterion) {
@@ -98,7 +98,7 @@
         ..PoolSettings::default()
     };
     let bound_and_pace = PoolSettings {
-        reading: ReadingPolicy::Bound,
+        prefill: PrefillPolicy::Bound,
         waiting: WaitingPolicy::Pace,
         prefill_tokens: 7_000,
         learns_pace: false,
--- a/components/policy/src/admission/arrivals.rs
+++ b/components/policy/src/admission/arrivals.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::forecast::MemoryNeed;
 use crate::admission::memory_forecast::TokensByHorizon;
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 
 /// Half-life of an arrival: a burst shows within a second and has faded a few seconds later.
 const HALF_LIFE_MS: f64 = 1_000.0;
@@ -29,13 +29,13 @@
 /// Recent arrivals of all ranks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Arrivals {
-    ranks: [RankArrivals; RANKS],
+    ranks: [RankArrivals; RANK_COUNT],
 }
 
 impl Arrivals {
     /// Adds an arrival.
     pub fn record(&mut self, demand: &Demand, need: &MemoryNeed, now_ms: u64) {
-        let arrivals = &mut self.ranks[usize::from(demand.rank_in_use())];
+        let arrivals = &mut self.ranks[usize::from(demand.clamped_rank())];
         let decay = arrivals.decay(now_ms);
         for (sum, tokens) in arrivals
             .time_averaged_tokens
--- a/components/policy/src/admission/first_token.rs
+++ b/components/policy/src/admission/first_token.rs
@@ -16,7 +16,7 @@
 use crate::admission::pending_retries::PendingRetries;
 use crate::admission::prefill_simulation::{PrefillEngine, PrefillSimulation};
 use crate::demand::{Demand, Verdict};
-use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
+use crate::placement::ledger::{EngineLedger, EngineState, ForecastContext};
 use crate::pool::Pool;
 use prelude::{PermitId, Refusal, RefusalReason};
 
@@ -49,11 +49,11 @@
 impl Pool {
     /// Refreshes the memory forecast if it is stale.
     pub(crate) fn refresh_memory_forecast(&mut self, now_ms: u64) {
-        if !self.settings.memory_ahead || !self.outlook.memory.is_stale(now_ms) {
+        if !self.settings.memory_ahead || !self.admission_forecast.memory.is_stale(now_ms) {
             return;
         }
-        let typical_tokens = self.outlook.arrivals.mean_peak_tokens(now_ms);
-        let view = RoomView {
+        let typical_tokens = self.admission_forecast.arrivals.mean_peak_tokens(now_ms);
+        let view = ForecastContext {
             streams: &self.streams,
             lengths: &self.lengths,
             settings: &self.settings,
@@ -61,7 +61,7 @@
             margin: self.margin_in_use(),
             now_ms,
         };
-        self.outlook
+        self.admission_forecast
             .memory
             .refresh(self.engines.iter_mut(), &view, typical_tokens);
     }
@@ -82,12 +82,12 @@
             .queue_ahead(demand, start_by_ms, &self.tree, &mut simulation);
         let first = self.first_token(&simulation, demand, need, &queue_ahead, now_ms)?;
         if self.is_late(demand, first, now_ms) {
-            let mut retries = std::mem::take(&mut self.outlook.retries);
+            let mut retries = std::mem::take(&mut self.admission_forecast.retries);
             let refusal = self.crowded_refusal(simulation, demand, need, queue_ahead, &mut retries);
-            self.outlook.retries = retries;
+            self.admission_forecast.retries = retries;
             return Some(refusal);
         }
-        let errors = &mut self.outlook.errors;
+        let errors = &mut self.admission_forecast.errors;
         errors.record_forecast(demand, first.forecast_ms, now_ms);
         None
     }
@@ -98,21 +98,21 @@
             return Vec::new();
         }
         self.refresh_memory_forecast(now_ms);
-        let mut retries = std::mem::take(&mut self.outlook.retries);
+        let mut retries = std::mem::take(&mut self.admission_forecast.retries);
         let mut simulation = self.simulate_prefill(now_ms);
         let mut queue_ahead = QueueAhead::default();
         let mut rank = 0;
         let mut verdicts = Vec::new();
         for (demand, need) in self.queue.in_order(&self.tree) {
-            if demand.rank_in_use() != rank {
-                rank = demand.rank_in_use();
+            if demand.clamped_rank() != rank {
+                rank = demand.clamped_rank();
                 queue_ahead.same_rank_requests = 0;
             }
             let Some(first) = self.first_token(&simulation, demand, need, &queue_ahead, now_ms)
             else {
                 break;
             };
-            let waited_ms = now_ms.saturating_sub(demand.since_ms) as f64;
+            let waited_ms = now_ms.saturating_sub(demand.arrived_ms) as f64;
             let is_early = waited_ms <= goal_ms(demand) * EARLY_REFUSAL_SHARE;
             if is_early && self.is_late(demand, first, now_ms) {
                 let refusal = self.crowded_refusal(
@@ -128,9 +128,9 @@
             simulation.enqueue(demand.prompt_tokens);
             queue_ahead.add_request(demand, need, rank);
         }
-        self.outlook.retries = retries;
+        self.admission_forecast.retries = retries;
         for (permit, _) in &verdicts {
-            self.outlook.errors.forget(*permit);
+            self.admission_forecast.errors.forget(*permit);
             if let Some(demand) = self.queue.remove(*permit) {
                 self.usage.record_refusal(&demand);
                 self.tree.remove_waiting(&demand.share);
@@ -150,7 +150,7 @@
     ) -> Refusal {
         let now_ms = self.now_ms;
         let is_flooding = self.tree.is_flooding(&demand.share);
-        let priority = (is_flooding, demand.rank_in_use());
+        let priority = (is_flooding, demand.clamped_rank());
         let simulates_memory = self.settings.memory_ahead;
         if simulates_memory {
             retries.add_to(&mut queue_ahead, &mut simulation, priority, now_ms);
@@ -184,15 +184,15 @@
             .deadline_ms
             .saturating_sub(self.prefill_ms(demand) as u64);
         let min_wait_ms = (goal_ms(demand) * MIN_WAIT_SHARE) as u64;
-        latest_ms.max(demand.since_ms.saturating_add(min_wait_ms))
+        latest_ms.max(demand.arrived_ms.saturating_add(min_wait_ms))
     }
 
     /// Returns whether the first token would be late for other reasons than the request's own
     /// prefill time.
     fn is_late(&self, demand: &Demand, first: FirstTokenForecast, now_ms: u64) -> bool {
-        let left_ms = demand.deadline_ms.saturating_sub(now_ms) as f64;
+        let remaining_ms = demand.deadline_ms.saturating_sub(now_ms) as f64;
         let is_undelayed = first.forecast_ms <= self.prefill_ms(demand) * OWN_PREFILL_FACTOR;
-        first.corrected_ms > left_ms && !is_undelayed
+        first.corrected_ms > remaining_ms && !is_undelayed
     }
 
     /// Forecasts the first token of a request that is served after `queue_ahead`. Returns `None` if
@@ -205,19 +205,24 @@
         queue_ahead: &QueueAhead,
         now_ms: u64,
     ) -> Option<FirstTokenForecast> {
-        let rank = demand.rank_in_use();
+        let rank = demand.clamped_rank();
         let prefill_ms = self.prefill_ms(demand);
         let queued_ms = simulation.first_token_ms(demand.prompt_tokens)?;
         let urgent_slowdown = self.urgent_slowdown(simulation, rank, now_ms);
         let by_prefill_ms = prefill_ms + (queued_ms - prefill_ms).max(0.0) * urgent_slowdown;
         let granted_ms = match self.settings.memory_ahead {
-            true => self.outlook.memory_wait_ms(rank, need, queue_ahead, now_ms),
+            true => self
+                .admission_forecast
+                .memory_wait_ms(rank, need, queue_ahead, now_ms),
             false => self.grant_wait_ms(rank, queue_ahead.same_rank_requests),
         };
         let forecast_ms = by_prefill_ms.max(granted_ms + prefill_ms);
         let corrects = self.settings.corrects_forecasts || self.settings.memory_ahead;
         let correction = match corrects {
-            true => self.outlook.errors.correction_factor(rank, now_ms),
+            true => self
+                .admission_forecast
+                .errors
+                .correction_factor(rank, now_ms),
             false => 1.0,
         };
         Some(FirstTokenForecast {
@@ -229,7 +234,7 @@
     /// Returns the correction factor of each rank that had first tokens; 1 means accurate
     /// forecasts.
     pub fn forecast_corrections(&self) -> impl Iterator<Item = (u8, f64)> + '_ {
-        let errors = &self.outlook.errors;
+        let errors = &self.admission_forecast.errors;
         errors
             .known_ranks()
             .map(|rank| (rank, errors.correction_factor(rank, self.now_ms)))
@@ -240,7 +245,7 @@
         if !self.counts_arrivals() {
             return 1.0;
         }
-        let arrivals = &self.outlook.arrivals;
+        let arrivals = &self.admission_forecast.arrivals;
         let urgent_share =
             arrivals.urgent_prompt_tokens_per_ms(rank, now_ms) / simulation.tokens_per_ms();
         (1.0 - urgent_share.min(MAX_URGENT_SHARE)).recip()
@@ -258,21 +263,21 @@
         if same_rank_requests == 0 {
             return 0.0;
         }
-        let ms_per_grant = self.paces[usize::from(rank)].ms_per_grant();
+        let ms_per_grant = self.rank_grant_rates[usize::from(rank)].ms_per_grant();
         ms_per_grant.unwrap_or(0.0) * (same_rank_requests + 1) as f64
     }
 
     pub(crate) fn prefill_ms(&self, demand: &Demand) -> f64 {
-        f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms()
+        f64::from(demand.prompt_tokens) / self.prefill_rate.tokens_per_ms()
     }
 
     fn simulate_prefill(&self, now_ms: u64) -> PrefillSimulation {
         let accepts_work = |ledger: &&EngineLedger| {
-            ledger.state == EngineState::Live && ledger.bears_one_more(now_ms)
+            ledger.state == EngineState::Live && ledger.within_rate_limits(now_ms)
         };
         let engine = |ledger: &EngineLedger| PrefillEngine {
-            backlog_ms: ledger.reading.left_ms(&self.reading_rate, now_ms),
-            tokens_per_ms: ledger.reading.rate(&self.reading_rate),
+            backlog_ms: ledger.prefill.remaining_ms(&self.prefill_rate, now_ms),
+            tokens_per_ms: ledger.prefill.tokens_per_ms(&self.prefill_rate),
         };
         // Each waiting prompt goes to the engine that is idle first, so one idle engine per prompt
         // suffices.
@@ -292,7 +297,7 @@
 
 /// Returns the time from arrival to the first-token deadline.
 fn goal_ms(demand: &Demand) -> f64 {
-    demand.deadline_ms.saturating_sub(demand.since_ms) as f64
+    demand.deadline_ms.saturating_sub(demand.arrived_ms) as f64
 }
 
 #[cfg(test)]
--- a/components/policy/src/admission/first_token_tests.rs
+++ b/components/policy/src/admission/first_token_tests.rs
@@ -2,7 +2,7 @@
 use crate::placement::ledger::EngineInfo;
 use crate::placement::length::LengthClass;
 use crate::pool::Pool;
-use crate::{Demand, PoolSettings, Submitted, Verdict};
+use crate::{Demand, PoolSettings, SubmitOutcome, Verdict};
 use prelude::{
     AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId, RefusalReason, TargetId,
 };
@@ -11,7 +11,7 @@
 fn pool() -> Pool {
     let mut pool = Pool::new(PoolSettings {
         first_report_ms: 0,
-        reading_ahead_ms: 100,
+        prefill_ahead_ms: 100,
         memory_ahead: true,
         ..PoolSettings::default()
     });
@@ -44,13 +44,13 @@
         max_tokens: 100,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms,
-        leaves_ms: 10_000,
+        caller_deadline_ms: 10_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -59,10 +59,10 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     // The fourth prefill would end after 4 s.
-    let Submitted::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(demand(4, 5_000, 3_000), 0) else {
         panic!("the request was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
@@ -74,7 +74,7 @@
     );
     assert!(matches!(
         pool.submit(demand(5, 5_000, 4_500), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
 }
 
@@ -83,9 +83,9 @@
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, 50_000, 1_000), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
-    assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
+    assert!(matches!(pool.schedule(0)[0].1, Verdict::Granted { .. }));
 }
 
 #[test]
@@ -93,24 +93,27 @@
     let mut pool = pool();
     for serial in 0..4 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     let urgent = Demand {
         rank: 0,
         pause_goal_ms: None,
         ..demand(9, 5_000, 2_500)
     };
-    assert!(matches!(pool.submit(urgent, 0), Submitted::Waits { .. }));
+    assert!(matches!(
+        pool.submit(urgent, 0),
+        SubmitOutcome::Queued { .. }
+    ));
 }
 
 #[test]
 fn serves_the_caller_with_the_least_time_left_first() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
-    pool.run(0);
-    for (serial, leaves_ms) in [(2, 10_000), (3, 6_000), (4, 12_000)] {
+    pool.schedule(0);
+    for (serial, caller_deadline_ms) in [(2, 10_000), (3, 6_000), (4, 12_000)] {
         let next = Demand {
-            leaves_ms,
+            caller_deadline_ms,
             ..demand(serial, 5_000, 9_000)
         };
         pool.submit(next, 0);
@@ -128,11 +131,11 @@
 fn refuses_an_admitted_request_only_when_its_prefill_cannot_finish_in_time() {
     let mut pool = pool();
     pool.submit(demand(1, 5_000, 9_000), 0);
-    pool.run(0);
+    pool.schedule(0);
     pool.submit(demand(2, 2_500, 2_000), 0);
     // The first is overdue: from 1.5 s on the second cannot be prefilled before 2 s.
     let refused = |pool: &mut Pool, at_ms| {
-        let verdicts = pool.run(at_ms);
+        let verdicts = pool.schedule(at_ms);
         verdicts
             .iter()
             .any(|(_, verdict)| matches!(verdict, Verdict::Refused(_)))
@@ -146,11 +149,11 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 9_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     // The others are due after 9 s, so it is prefilled second, within 2 s.
     let soon = demand(9, 5_000, 3_000);
-    assert!(matches!(pool.submit(soon, 0), Submitted::Waits { .. }));
+    assert!(matches!(pool.submit(soon, 0), SubmitOutcome::Queued { .. }));
     assert_eq!(pool.queue.in_order(&pool.tree)[0].0.permit.serial, 9);
 }
 
@@ -159,11 +162,11 @@
     let mut pool = pool();
     for serial in 0..3 {
         pool.submit(demand(serial, 5_000, 3_000), 0);
-        pool.run(0);
+        pool.schedule(0);
     }
     let retry_after_ms = |serial| match pool.submit(demand(serial, 5_000, 3_000), 0) {
-        Submitted::Refused(refusal) => refusal.retry_after_ms.unwrap(),
-        Submitted::Waits { .. } => panic!("the request was not refused"),
+        SubmitOutcome::Refused(refusal) => refusal.retry_after_ms.unwrap(),
+        SubmitOutcome::Queued { .. } => panic!("the request was not refused"),
     };
     // Each prefill takes a second.
     let times: Vec<u64> = [10, 11, 12].map(retry_after_ms).to_vec();
@@ -178,14 +181,14 @@
     let mut pool = pool();
     assert!(matches!(
         pool.submit(demand(1, u32::MAX, 1_000), 0),
-        Submitted::Refused(_)
+        SubmitOutcome::Refused(_)
     ));
     for (serial, max_tokens) in [(2, 0), (3, u32::MAX)] {
         let next = Demand {
             max_tokens,
             ..demand(serial, 0, 1_000)
         };
-        assert!(matches!(pool.submit(next, 0), Submitted::Waits { .. }));
-        assert!(matches!(pool.run(0)[0].1, Verdict::Granted { .. }));
+        assert!(matches!(pool.submit(next, 0), SubmitOutcome::Queued { .. }));
+        assert!(matches!(pool.schedule(0)[0].1, Verdict::Granted { .. }));
     }
 }
--- a/components/policy/src/admission/forecast.rs
+++ b/components/policy/src/admission/forecast.rs
@@ -52,7 +52,7 @@
     /// Adds a request.
     pub fn add_request(&mut self, demand: &Demand, need: &MemoryNeed, rank: u8) {
         self.add_tokens(&need.time_averaged_tokens);
-        self.same_rank_requests += usize::from(demand.rank_in_use() == rank);
+        self.same_rank_requests += usize::from(demand.clamped_rank() == rank);
     }
 
     /// Adds memory use.
--- a/components/policy/src/admission/forecast_error.rs
+++ b/components/policy/src/admission/forecast_error.rs
@@ -2,7 +2,7 @@
 //! decay. Forecasts are multiplied by the ratio, so that a pool that turns out slower than forecast
 //! refuses requests earlier.
 
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use prelude::PermitId;
 use std::collections::HashMap;
 
@@ -37,7 +37,7 @@
 /// Forecast errors by rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForecastErrors {
-    ranks: [RankError; RANKS],
+    ranks: [RankError; RANK_COUNT],
     pending: HashMap<PermitId, PendingForecast>,
 }
 
@@ -48,7 +48,7 @@
             return;
         }
         let pending = PendingForecast {
-            rank: demand.rank_in_use(),
+            rank: demand.clamped_rank(),
             arrived_ms: now_ms,
             forecast_ms,
         };
--- a/components/policy/src/admission/memory_forecast.rs
+++ b/components/policy/src/admission/memory_forecast.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::forecast::MemoryNeed;
 use crate::placement::forecast::{Forecast, HORIZONS_TOKENS};
-use crate::placement::ledger::{EngineLedger, EngineState, RoomView};
+use crate::placement::ledger::{EngineLedger, EngineState, ForecastContext};
 
 /// Number of forecast horizons.
 pub(crate) const HORIZON_COUNT: usize = HORIZONS_TOKENS.len();
@@ -38,7 +38,7 @@
     pub fn refresh<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a mut EngineLedger>,
-        view: &RoomView<'_>,
+        view: &ForecastContext<'_>,
         typical_tokens: f64,
     ) {
         let tokens_per_ms = view.tokens_per_ms.max(f64::MIN_POSITIVE);
@@ -47,11 +47,11 @@
         self.refreshed_ms = Some(view.now_ms);
         for ledger in engines {
             let accepts_work =
-                ledger.state == EngineState::Live && ledger.bears_one_more(view.now_ms);
+                ledger.state == EngineState::Live && ledger.within_rate_limits(view.now_ms);
             if !accepts_work {
                 continue;
             }
-            let free = ledger.free_ahead(view);
+            let free = ledger.free_tokens_by_horizon(view);
             for (sum, free) in self.free_tokens.iter_mut().zip(free) {
                 *sum += if free >= typical_tokens { free } else { 0.0 };
             }
--- a/components/policy/src/admission/memory_forecast_tests.rs
+++ b/components/policy/src/admission/memory_forecast_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::kind::PoolSettings;
 use crate::placement::ledger::{EngineInfo, Streams};
 use crate::placement::length::LengthModel;
+use crate::settings::PoolSettings;
 use prelude::{DataCentreId, TargetId};
 
 /// Returns a forecast with `first_tokens` free at first and `step_tokens` more at each horizon.
@@ -78,7 +78,7 @@
         memory_share: 1.0,
         ..PoolSettings::default()
     };
-    let view = RoomView {
+    let view = ForecastContext {
         streams: &streams,
         lengths: &lengths,
         settings: &settings,
--- a/components/policy/src/admission/pending_retries.rs
+++ b/components/policy/src/admission/pending_retries.rs
@@ -34,7 +34,7 @@
         }
         let retry = PendingRetry {
             retry_ms,
-            priority: (is_flooding, demand.rank_in_use()),
+            priority: (is_flooding, demand.clamped_rank()),
             prompt_tokens: demand.prompt_tokens,
             need: *need,
         };
--- a/components/policy/src/admission/prefill_reserve.rs
+++ b/components/policy/src/admission/prefill_reserve.rs
@@ -9,7 +9,7 @@
 //! No engine is reserved without such arrivals: arrivals have a half-life of one second.
 
 use crate::admission::queue::QueueKey;
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use crate::placement::ledger::{EngineLedger, EngineState};
 use crate::pool::Pool;
 
@@ -33,8 +33,8 @@
             return true;
         }
         let is_free = |ledger: &&EngineLedger| {
-            let left_ms = ledger.reading.left_ms(&self.reading_rate, now_ms);
-            ledger.state == EngineState::Live && left_ms <= prefill_ms
+            let remaining_ms = ledger.prefill.remaining_ms(&self.prefill_rate, now_ms);
+            ledger.state == EngineState::Live && remaining_ms <= prefill_ms
         };
         // Stops at the first free engine beyond the reserve.
         let mut free_engines = self.engines.iter().filter(is_free);
@@ -50,15 +50,15 @@
     /// Returns the number of engines to reserve during a prefill of `prefill_ms`. Arrivals of
     /// flooding accounts are not counted.
     fn reserved_engines(&self, demand: &Demand, prefill_ms: f64, now_ms: u64) -> f64 {
-        let arrivals = &self.outlook.arrivals;
+        let arrivals = &self.admission_forecast.arrivals;
         if self.tree.has_dominant_demand(&demand.share) {
-            let mean = arrivals.urgent_requests_per_ms(RANKS as u8, now_ms) * prefill_ms;
+            let mean = arrivals.urgent_requests_per_ms(RANK_COUNT as u8, now_ms) * prefill_ms;
             return mean + RESERVED_DEVIATIONS * mean.sqrt();
         }
         if !self.settings.protection {
             return 0.0;
         }
-        arrivals.urgent_requests_per_ms(demand.rank_in_use(), now_ms) * prefill_ms * RESERVED_SHARE
+        arrivals.urgent_requests_per_ms(demand.clamped_rank(), now_ms) * prefill_ms * RESERVED_SHARE
     }
 }
 
--- a/components/policy/src/admission/prefill_reserve_tests.rs
+++ b/components/policy/src/admission/prefill_reserve_tests.rs
@@ -25,9 +25,9 @@
 fn request(serial: u64, rank: u8, prompt_tokens: u32, now_ms: u64) -> Demand {
     Demand {
         prompt_tokens,
-        since_ms: now_ms,
+        arrived_ms: now_ms,
         deadline_ms: now_ms + 20_000,
-        leaves_ms: now_ms + 40_000,
+        caller_deadline_ms: now_ms + 40_000,
         ..demand(serial, 1, rank)
     }
 }
@@ -39,8 +39,8 @@
         let urgent = request(serial, 0, 1, at_ms);
         let permit = urgent.permit;
         pool.submit(urgent, at_ms);
-        pool.run(at_ms);
-        pool.release(permit, 2, crate::End::Finished);
+        pool.schedule(at_ms);
+        pool.release(permit, 2, crate::StreamEnd::Finished);
     }
 }
 
@@ -65,7 +65,7 @@
     for serial in 0..4 {
         pool.submit(request(100 + serial, 2, 5_000, 1_000), 1_000);
     }
-    assert_eq!(granted(&pool.run(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
 }
 
 #[test]
@@ -73,8 +73,8 @@
     let mut pool = pool(true);
     serve_urgent_requests(&mut pool, 20);
     pool.submit(request(100, 2, 5_000, 1_000), 1_000);
-    assert_eq!(granted(&pool.run(1_000)), 0);
-    assert_eq!(granted(&pool.run(4_000)), 1);
+    assert_eq!(granted(&pool.schedule(1_000)), 0);
+    assert_eq!(granted(&pool.schedule(4_000)), 1);
 }
 
 /// An urgent request is too long for the free memory; a short, less urgent one would fit.
@@ -89,9 +89,9 @@
     for serial in 0..4 {
         pool.submit(request(serial, 5, 60_000, 0), 0);
     }
-    assert_eq!(granted(&pool.run(0)), 4);
+    assert_eq!(granted(&pool.schedule(0)), 4);
     for serial in 0..4 {
-        pool.progress(request(serial, 5, 60_000, 0).permit, 1, 1_000);
+        pool.record_progress(request(serial, 5, 60_000, 0).permit, 1, 1_000);
     }
     let urgent = request(10, 0, 60_000, 1_000);
     let short = Demand {
@@ -102,7 +102,7 @@
     pool.queue.push(urgent, 9_000, urgent_need);
     pool.queue
         .push(short.clone(), short.deadline_ms - 20, short_need);
-    assert_eq!(granted(&pool.run(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut pool = pool(true);
     serve_urgent_requests(&mut pool, 40);
     pool.submit(request(100, 0, 5_000, 1_000), 1_000);
-    assert_eq!(granted(&pool.run(1_000)), 1);
+    assert_eq!(granted(&pool.schedule(1_000)), 1);
 }
 
 /// An account that requested nearly all tokens sends four requests, after `other_count` requests of
@@ -135,6 +135,6 @@
         pool.submit(flooding, 1_000);
     }
     assert!(pool.tree.is_flooding(&demand(0, 9, 0).share));
-    assert_eq!(granted(&pool.run(1_000)), expected);
-    assert_eq!(granted(&pool.run(6_000)), 4 - expected);
+    assert_eq!(granted(&pool.schedule(1_000)), expected);
+    assert_eq!(granted(&pool.schedule(6_000)), 4 - expected);
 }
--- a/components/policy/src/admission/queue.rs
+++ b/components/policy/src/admission/queue.rs
@@ -10,7 +10,7 @@
 
 use crate::admission::forecast::{MemoryNeed, QueueAhead};
 use crate::admission::prefill_simulation::PrefillSimulation;
-use crate::demand::{Demand, RANKS};
+use crate::demand::{Demand, RANK_COUNT};
 use crate::fairness::tree::{FairTree, Share};
 use prelude::{AccountId, PermitId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -35,7 +35,7 @@
     fn of(demand: &Demand) -> Self {
         Self {
             account: demand.share.account,
-            rank: demand.rank_in_use(),
+            rank: demand.clamped_rank(),
         }
     }
 }
@@ -53,7 +53,11 @@
     /// Sort key within its sub-queue.
     fn key(&self) -> (u64, u64, u64) {
         let demand = &self.demand;
-        (demand.leaves_ms, self.start_by_ms, demand.since_ms)
+        (
+            demand.caller_deadline_ms,
+            self.start_by_ms,
+            demand.arrived_ms,
+        )
     }
 }
 
@@ -75,8 +79,8 @@
     }
 
     /// Returns, for each rank, whether a request waits.
-    pub fn ranks(&self) -> [bool; RANKS] {
-        let mut ranks = [false; RANKS];
+    pub fn ranks(&self) -> [bool; RANK_COUNT] {
+        let mut ranks = [false; RANK_COUNT];
         for queue_key in self.subqueues.keys() {
             ranks[usize::from(queue_key.rank)] = true;
         }
@@ -195,7 +199,7 @@
     pub fn has_long_non_flooding_wait(&self, tree: &FairTree, now_ms: u64) -> bool {
         self.subqueues.values().any(|subqueue| {
             let front = subqueue.front().map(|waiting| &waiting.demand);
-            let waits_long = front.filter(|demand| demand.since_ms + LONG_WAIT_MS <= now_ms);
+            let waits_long = front.filter(|demand| demand.arrived_ms + LONG_WAIT_MS <= now_ms);
             waits_long.is_some_and(|demand| !tree.is_flooding(&demand.share))
         })
     }
@@ -217,7 +221,7 @@
             let demand = &waiting.demand;
             (
                 *is_flooding,
-                demand.rank_in_use(),
+                demand.clamped_rank(),
                 waiting.key(),
                 demand.permit,
             )
@@ -237,7 +241,7 @@
         tree: &FairTree,
         simulation: &mut PrefillSimulation,
     ) -> QueueAhead {
-        let rank = demand.rank_in_use();
+        let rank = demand.clamped_rank();
         let mut queue_ahead = QueueAhead::default();
         for other in self.waiting_ahead(demand, start_by_ms, tree) {
             queue_ahead.add_request(&other.demand, &other.need, rank);
@@ -263,8 +267,8 @@
         start_by_ms: u64,
         tree: &'a FairTree,
     ) -> impl Iterator<Item = &'a WaitingRequest> {
-        let priority = (tree.is_flooding(&demand.share), demand.rank_in_use());
-        let key = (demand.leaves_ms, start_by_ms, demand.since_ms);
+        let priority = (tree.is_flooding(&demand.share), demand.clamped_rank());
+        let key = (demand.caller_deadline_ms, start_by_ms, demand.arrived_ms);
         let subqueues = self
             .subqueues
             .iter()
@@ -289,7 +293,7 @@
             .flatten()
             .take(max_count);
         subqueue
-            .filter(|waiting| waiting.demand.since_ms <= since_ms)
+            .filter(|waiting| waiting.demand.arrived_ms <= since_ms)
             .count()
     }
 
@@ -325,7 +329,7 @@
         }
         self.subqueues.retain(|_, subqueue| !subqueue.is_empty());
         // A deterministic order that does not depend on the sub-queues.
-        removed.sort_by_key(|demand| (demand.since_ms, demand.permit));
+        removed.sort_by_key(|demand| (demand.arrived_ms, demand.permit));
         self.len -= removed.len();
         removed
     }
--- a/components/policy/src/admission/rate_limit.rs
+++ b/components/policy/src/admission/rate_limit.rs
@@ -10,7 +10,7 @@
     /// Refuses a request if the rate limits leave no send before its deadline, with the time until
     /// they do.
     pub(crate) fn rate_limit_refusal(&self, demand: &Demand, now_ms: u64) -> Option<Refusal> {
-        let wait_ms = self.rate_limit_wait_ms(demand.rank_in_use(), now_ms)?;
+        let wait_ms = self.rate_limit_wait_ms(demand.clamped_rank(), now_ms)?;
         (now_ms + wait_ms > demand.deadline_ms).then_some(Refusal {
             reason: RefusalReason::Crowded,
             retry_after_ms: Some(wait_ms),
--- a/components/policy/src/admission/rate_limit_tests.rs
+++ b/components/policy/src/admission/rate_limit_tests.rs
@@ -1,9 +1,9 @@
 use crate::admission::test_demands::demand;
-use crate::demand::{Demand, Submitted, Verdict};
-use crate::kind::PoolSettings;
+use crate::demand::{Demand, SubmitOutcome, Verdict};
 use crate::placement::ledger::{EngineInfo, EngineReport};
-use crate::placement::length::End;
+use crate::placement::length::StreamEnd;
 use crate::pool::Pool;
+use crate::settings::PoolSettings;
 use prelude::{DataCentreId, RefusalReason, TargetId};
 
 const ENGINES: [TargetId; 2] = [TargetId(1), TargetId(2)];
@@ -20,7 +20,7 @@
         cold_rate_per_s: None,
     }));
     for (id, rate_per_s) in ENGINES.into_iter().zip(rates_per_s) {
-        pool.report(id, EngineReport::default(), 0);
+        pool.apply_report(id, EngineReport::default(), 0);
         pool.set_rate_limit(id, rate_per_s, 0);
     }
     pool
@@ -35,15 +35,15 @@
         if now_ms % 50 == 0 {
             pool.submit(short(now_ms, now_ms + 1_000), now_ms);
         }
-        for (permit, verdict) in pool.run(now_ms) {
+        for (permit, verdict) in pool.schedule(now_ms) {
             if let Verdict::Granted { target } = verdict {
                 placed.push((now_ms, target));
                 running.push((now_ms + 100, permit));
             }
         }
         for (_, permit) in running.extract_if(.., |(ends_ms, _)| *ends_ms <= now_ms) {
-            pool.progress(permit, 10, now_ms);
-            pool.release(permit, 10, End::Finished);
+            pool.record_progress(permit, 10, now_ms);
+            pool.release(permit, 10, StreamEnd::Finished);
         }
     }
     placed
@@ -70,7 +70,7 @@
     let mut pool = pool([Some(2.0), Some(3.0)]);
     let placed = placed(&mut pool);
     assert!((40..=50).contains(&placed.len()), "{}", placed.len());
-    let Submitted::Refused(refusal) = pool.submit(short(20_000, 10_100), 10_000) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(short(20_000, 10_100), 10_000) else {
         panic!("the request was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::Crowded);
@@ -82,9 +82,9 @@
     let mut pool = pool([Some(0.25), Some(0.25)]);
     assert!(matches!(
         pool.submit(demand(1, 1, 1), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
-    assert!(pool.run(100).is_empty());
+    assert!(pool.schedule(100).is_empty());
     pool.set_rate_limit(ENGINES[1], None, 200);
-    assert_eq!(pool.run(200).len(), 1);
+    assert_eq!(pool.schedule(200).len(), 1);
 }
--- a/components/policy/src/admission/refusal.rs
+++ b/components/policy/src/admission/refusal.rs
@@ -2,8 +2,8 @@
 
 use crate::admission::forecast::MemoryNeed;
 use crate::demand::{Demand, Verdict};
-use crate::kind::WaitingPolicy;
 use crate::pool::Pool;
+use crate::settings::WaitingPolicy;
 use prelude::{PermitId, Refusal, RefusalReason};
 use std::collections::HashSet;
 
@@ -20,7 +20,7 @@
         need: &MemoryNeed,
         now_ms: u64,
     ) -> Option<Refusal> {
-        let Some(max_tokens) = self.engines.largest_tokens() else {
+        let Some(max_tokens) = self.engines.largest_live_tokens() else {
             return Some(Refusal {
                 reason: RefusalReason::NoTarget,
                 retry_after_ms: Some(1000),
@@ -39,7 +39,9 @@
         // Requests that fit no engine say nothing about demand, and no capacity is reserved for
         // flooding accounts.
         if !self.tree.is_flooding(&demand.share) {
-            self.outlook.arrivals.record(demand, need, now_ms);
+            self.admission_forecast
+                .arrivals
+                .record(demand, need, now_ms);
         }
         if self.settings.waiting == WaitingPolicy::FirstToken {
             return self.late_refusal(demand, need, now_ms);
@@ -57,7 +59,7 @@
         if self.queue.len() == 0 {
             return Some(0);
         }
-        let ms_per_grant = self.pace.ms_per_grant()?;
+        let ms_per_grant = self.grant_rate.ms_per_grant()?;
         let weight_part = self.queue.weight_part(&demand.share);
         let account_ahead = self.queue.len_of_account(demand.share.account) as f64 / weight_part;
         let ahead = account_ahead.min(self.queue.len() as f64);
@@ -66,10 +68,10 @@
 
     /// Refuses requests that have waited past their deadline.
     pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
-        if now_ms < self.expiry_ms {
+        if now_ms < self.next_expiry_check_ms {
             return Vec::new();
         }
-        self.expiry_ms = now_ms + EXPIRY_CHECK_MS;
+        self.next_expiry_check_ms = now_ms + EXPIRY_CHECK_MS;
         let uses_forecasts = self.settings.waiting == WaitingPolicy::FirstToken;
         let mut verdicts = match uses_forecasts {
             true => self.refuse_late_forecasts(now_ms),
@@ -94,7 +96,7 @@
             self.usage.record_refusal(&demand);
             // Its first token could not have come before the end of its prefill.
             let prefill_ms = self.prefill_ms(&demand) as u64;
-            let errors = &mut self.outlook.errors;
+            let errors = &mut self.admission_forecast.errors;
             errors.record_first_token(demand.permit, now_ms.saturating_add(prefill_ms));
             let wait_ms = self.expected_wait_ms(&demand).unwrap_or(0);
             let refusal = Refusal {
--- a/components/policy/src/fairness/recent_usage.rs
+++ b/components/policy/src/fairness/recent_usage.rs
@@ -74,13 +74,13 @@
     /// Charges usage that a box reports from the time before this dispatcher observed it. Returns
     /// whether the dispatcher had no recent contact with the box, which may have used another one.
     pub fn adopt_usage(&mut self, entry: BoxId, usage: &[RecentUsage], now_ms: u64) -> bool {
-        let unobserved_part = self.known.take_unobserved_part(entry, now_ms);
+        let unobserved_part = self.observed_boxes.take_unobserved_part(entry, now_ms);
         // The time before the report is covered by it; adopted streams are charged from now on.
         self.tree.advance(now_ms);
         if unobserved_part <= 0.0 {
             return false;
         }
-        let tokens_per_ms = self.reading_rate.tokens_per_ms();
+        let tokens_per_ms = self.prefill_rate.tokens_per_ms();
         for account_usage in usage {
             let prefill_ms = f64::from(account_usage.prompt_tokens) / tokens_per_ms;
             let memory_ms = self.tree.engine_ms(account_usage.held_token_ms as f64);
--- a/components/policy/src/fairness/recent_usage_tests.rs
+++ b/components/policy/src/fairness/recent_usage_tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::demand::{Adopted, Demand};
-use crate::kind::PoolSettings;
+use crate::demand::{Demand, RunningStream};
 use crate::placement::ledger::{EngineInfo, EngineReport};
-use crate::placement::length::{End, LengthClass};
-use crate::{Submitted, Verdict};
+use crate::placement::length::{LengthClass, StreamEnd};
+use crate::settings::PoolSettings;
+use crate::{SubmitOutcome, Verdict};
 use prelude::{AccountId, Avoided, DataCentreId, OwnerId, PartnerId, PermitId, TargetId};
 use rstest::rstest;
 
@@ -39,13 +39,13 @@
         max_tokens: 500,
         rank: 0,
         pause_goal_ms: None,
-        since_ms: arrived_ms,
+        arrived_ms: arrived_ms,
         deadline_ms: u64::MAX,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -62,7 +62,7 @@
     };
     pool.set_engines(&(0..ENGINES).map(info).collect::<Vec<_>>());
     for id in 0..ENGINES {
-        pool.report(TargetId(id), EngineReport::default(), 0);
+        pool.apply_report(TargetId(id), EngineReport::default(), 0);
     }
     pool
 }
@@ -116,7 +116,7 @@
         prompt_tokens: 100,
     }];
     add_waiting_to_both(&mut pool, at_ms);
-    let rate = pool.reading_rate.tokens_per_ms();
+    let rate = pool.prefill_rate.tokens_per_ms();
     pool.adopt_usage(BoxId(1), &used, at_ms);
     pool.adopt_usage(BoxId(1), &used, at_ms + gap_ms);
     let charged_ms = pool.tree.service_ms_by_level(&share(FLOOD))[2]
@@ -176,12 +176,12 @@
         let has_ended =
             |(_, _, since_ms): &(Demand, TargetId, u64)| since_ms + Self::RUN_MS <= now_ms;
         for (demand, _, _) in self.running.extract_if(.., |one| has_ended(one)) {
-            pool.release(demand.permit, 50, End::Finished);
+            pool.release(demand.permit, 50, StreamEnd::Finished);
         }
-        for (permit, verdict) in pool.run(now_ms) {
+        for (permit, verdict) in pool.schedule(now_ms) {
             let Some(at) = self.waiting.iter().position(|one| one.permit == permit) else {
                 // The box has sent the request to another dispatcher, so the permit is unused.
-                pool.release(permit, 0, End::Censored);
+                pool.release(permit, 0, StreamEnd::Censored);
                 continue;
             };
             let demand = self.waiting.remove(at);
@@ -191,7 +191,7 @@
             }
         }
         for (demand, _, _) in &self.running {
-            pool.progress(demand.permit, 1, now_ms);
+            pool.record_progress(demand.permit, 1, now_ms);
             self.used[(demand.share.account.0 - 1) as usize] += 2_000 * 20;
         }
     }
@@ -199,7 +199,7 @@
     /// Reports all running and waiting requests to a new dispatcher, as boxes do.
     fn report_all(&mut self, pool: &mut Pool, now_ms: u64) {
         for (demand, target, _) in &self.running {
-            let adopted = Adopted {
+            let adopted = RunningStream {
                 demand: demand.clone(),
                 target: *target,
                 generated_tokens: 1,
@@ -250,7 +250,7 @@
     // Boxes send their requests in any order.
     boxes.waiting.reverse();
     boxes.report_all(&mut second, 400);
-    let arrived_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.since_ms).collect();
+    let arrived_ms: Vec<u64> = boxes.waiting.iter().map(|one| one.arrived_ms).collect();
     assert!(!arrived_ms.is_empty());
     let oldest_ms = arrived_ms.iter().min().copied().unwrap();
     for now_ms in (400..2_000).step_by(20) {
@@ -260,7 +260,7 @@
             .iter()
             .find(|(_, _, since_ms)| *since_ms >= 400);
         if let Some((demand, _, _)) = granted {
-            assert_eq!(demand.since_ms, oldest_ms);
+            assert_eq!(demand.arrived_ms, oldest_ms);
             return;
         }
     }
@@ -299,7 +299,7 @@
     let permits: Vec<PermitId> = boxes.running.iter().map(|one| one.0.permit).collect();
     for entry in 1..=3 {
         let of_box = permits.iter().filter(|permit| permit.entry == BoxId(entry));
-        first.keep_only(BoxId(entry), &of_box.copied().collect(), 6_000);
+        first.reconcile_permits(BoxId(entry), &of_box.copied().collect(), 6_000);
     }
     boxes.report_all(&mut first, 6_000);
     boxes.served = [0; 2];
@@ -366,7 +366,7 @@
 fn charges_adopted_streams_from_the_adoption_on() {
     let mut pool = pool();
     pool.adopt_usage(BoxId(1), &[], 100_000);
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, 1, FLOOD, 99_000),
         target: TargetId(0),
         generated_tokens: 10,
@@ -382,18 +382,18 @@
     let mut pool = pool();
     let in_time = |serial| Demand {
         deadline_ms: 100_500,
-        leaves_ms: 102_000,
+        caller_deadline_ms: 102_000,
         ..demand(1, serial, OTHER, 100_000)
     };
     let crowd = (1..=400).map(|serial| pool.submit(in_time(serial), 100_000));
-    let refused = crowd.filter(|submitted| matches!(submitted, Submitted::Refused(_)));
+    let refused = crowd.filter(|submitted| matches!(submitted, SubmitOutcome::Refused(_)));
     assert!(refused.count() > 0, "no request was refused");
     let refused_now = pool.submit(in_time(900), 100_001);
-    assert!(matches!(refused_now, Submitted::Refused(_)));
-    let again = pool.submit_again(in_time(901), 100_001);
-    assert!(matches!(again, Submitted::Waits { .. }));
+    assert!(matches!(refused_now, SubmitOutcome::Refused(_)));
+    let again = pool.resubmit(in_time(901), 100_001);
+    assert!(matches!(again, SubmitOutcome::Queued { .. }));
     // It expires like any other.
-    let verdicts = pool.run(103_000);
+    let verdicts = pool.schedule(103_000);
     let expired = verdicts.iter().find(|(permit, _)| permit.serial == 901);
     assert!(matches!(expired, Some((_, Verdict::Refused(_)))));
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions: which target, when to wait, when to refuse. Nothing here opens a socket, starts a
-//! task or reads a clock.
+//! Scheduling and load balancing decisions: which target gets a request, when a request waits and
+//! when it is refused. This crate opens no sockets, starts no tasks and reads no clock.
 
 mod admission;
 mod balance;
@@ -8,12 +8,12 @@
 mod fairness;
 mod health;
 mod holders;
-mod kind;
 mod pace;
 mod placement;
 mod pool;
 mod rate;
 mod retries;
+mod settings;
 mod streams;
 
 pub use balance::choose::{Candidate, SelectionPolicy, choose_target};
@@ -24,7 +24,7 @@
 pub use balance::limit::ConcurrencyLimit;
 pub use balance::slowness::Slowness;
 pub use balance::stats::{RouteStats, TargetStats};
-pub use demand::{Adopted, Demand, RANKS, Submitted, Verdict};
+pub use demand::{Demand, RANK_COUNT, RunningStream, SubmitOutcome, Verdict};
 pub use fairness::recent_usage::RecentUsage;
 pub use fairness::tree::{FairTree, Share};
 pub use fairness::usage::{AccountUsage, RankCounts};
@@ -32,7 +32,6 @@
 pub use health::probation::Probation;
 pub use health::quarantine::{Quarantine, WithheldRequest};
 pub use health::retry_after::RetryAfterBackoff;
-pub use kind::{PolicyKind, PoolSettings, ReadingPolicy, WaitingPolicy};
 pub use pace::disturbance::Disturbance;
 pub use pace::model::{EnginePace, PaceModel};
 pub use pace::observation::{EventGaps, PaceObservation};
@@ -40,12 +39,12 @@
 pub use pace::steps::Load as PaceLoad;
 pub use placement::forecast::{Forecast, HORIZONS_TOKENS};
 pub use placement::ledger::{EngineInfo, EngineLedger, EngineReport, EngineState, Stream};
-pub use placement::length::{End, LengthClass, LengthModel, Survivor};
-pub use placement::links::Turns;
+pub use placement::length::{ConditionalSurvival, LengthClass, LengthModel, StreamEnd};
 pub use placement::local::{LocalPool, LocalTarget};
 pub use placement::prefixes::PrefixIndex;
 pub use placement::relocate::Relocation;
-pub use placement::rendezvous::{ranked, winner};
+pub use placement::rendezvous::{rendezvous_order, rendezvous_owner};
+pub use placement::transfer_slots::TransferSlots;
 pub use placement::view::{EngineView, PoolView};
 pub use placement::warmup::Warmup;
 pub use pool::Pool;
@@ -55,3 +54,4 @@
 pub use rate::share::{FAILOVER_MS, FAILOVER_SHARE, FallbackShare};
 pub use retries::budget::RetryBudget;
 pub use retries::window::{RetryLimit, RetryWindow};
+pub use settings::{PolicyKind, PoolSettings, PrefillPolicy, WaitingPolicy};
--- a/components/policy/src/pace/impact.rs
+++ b/components/policy/src/pace/impact.rs
@@ -2,15 +2,15 @@
 //! concurrent streams. Both are counted as prefill time, and thereby as memory.
 
 use crate::demand::Demand;
-use crate::kind::PoolSettings;
 use crate::pace::model::PaceModel;
 use crate::pace::pause_risk::EventTiming;
 use crate::pace::steps::Load;
 use crate::placement::forecast::HORIZONS_TOKENS;
 use crate::placement::ledger::{EngineLedger, Stream, Streams};
 use crate::placement::length::LengthModel;
-use crate::placement::reading::ReadingRate;
+use crate::placement::prefill::PrefillRate;
 use crate::pool::Pool;
+use crate::settings::PoolSettings;
 use prelude::TargetId;
 
 /// Window over which the prefill share of an engine is taken.
@@ -22,7 +22,7 @@
     pub pace: &'a PaceModel,
     pub streams: &'a Streams,
     pub settings: &'a PoolSettings,
-    pub prefill_rate: &'a ReadingRate,
+    pub prefill_rate: &'a PrefillRate,
     pub tokens_per_ms: f64,
     pub now_ms: u64,
 }
@@ -54,13 +54,16 @@
             streams: ledger.streams.len() as f64 + 1.0,
             prefill_share,
         };
-        let event_ms = |share| self.pace.event_ms(&ledger.pace, load(share), self.now_ms);
+        let event_ms = |probability| {
+            self.pace
+                .event_ms(&ledger.pace, load(probability), self.now_ms)
+        };
         Some(EventTiming {
             event_ms: event_ms(0.0)?,
             prefill_event_ms: event_ms(1.0)?,
             disturbance: self.pace.disturbance(&ledger.pace),
-            prefill_share: ledger.spans.share(PREFILL_WINDOW_MS, self.now_ms),
-            prefill_ms: prompt_tokens / ledger.reading.rate(self.prefill_rate),
+            prefill_share: ledger.prefill_spans.share(PREFILL_WINDOW_MS, self.now_ms),
+            prefill_ms: prompt_tokens / ledger.prefill.tokens_per_ms(self.prefill_rate),
         })
     }
 
@@ -86,10 +89,10 @@
 
     /// Probability that a stream pauses beyond its goal while a prompt is prefilled.
     fn long_pause_during_prefill(&self, timing: &EventTiming, stream: &Stream) -> f64 {
-        let Some(goal_ms) = stream.goal_left_ms() else {
+        let Some(goal_ms) = stream.attainable_pause_goal_ms() else {
             return 0.0;
         };
-        let remaining_ms = stream.rest_tokens() / self.tokens_per_ms;
+        let remaining_ms = stream.remaining_tokens() / self.tokens_per_ms;
         let window_ms = timing.prefill_ms.min(remaining_ms);
         timing.long_pause_during_prefill(f64::from(goal_ms), window_ms)
     }
@@ -101,19 +104,20 @@
             return 0.0;
         }
         let settings = self.settings;
-        let each = f64::from(settings.long_pause_ms) * f64::from(settings.reading_tokens_per_ms);
+        let each =
+            f64::from(settings.long_pause_ms) * f64::from(settings.prefill_cost_tokens_per_ms);
         self.expected_long_pauses(ledger, new) * each
     }
 }
 
 /// Expected number of tokens of an answer.
 pub(crate) fn expected_tokens(lengths: &LengthModel, demand: &Demand) -> f64 {
-    let survivor = lengths.survivor(demand.class, 0.0);
+    let conditional_survival = lengths.conditional_survival(demand.class, 0.0);
     let mut from = 0.0;
     let mut expected = 0.0;
     for horizon in HORIZONS_TOKENS {
         let to = f64::from(horizon.min(demand.max_tokens));
-        expected += (to - from).max(0.0) * survivor.share((from + to) / 2.0);
+        expected += (to - from).max(0.0) * conditional_survival.probability((from + to) / 2.0);
         from = to;
     }
     expected.max(1.0)
@@ -146,7 +150,7 @@
             pace: &self.pace_model,
             streams: &self.streams,
             settings: &self.settings,
-            prefill_rate: &self.reading_rate,
+            prefill_rate: &self.prefill_rate,
             tokens_per_ms: self.tokens_per_ms,
             now_ms,
         }
--- a/components/policy/src/pace/impact_tests.rs
+++ b/components/policy/src/pace/impact_tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::demand::{Adopted, Submitted, Verdict};
+use crate::demand::{RunningStream, SubmitOutcome, Verdict};
 use crate::fairness::tree::Share;
-use crate::kind::PoolSettings;
 use crate::pace::observation::{EventGaps, PaceObservation};
 use crate::placement::ledger::EngineInfo;
 use crate::placement::length::LengthClass;
+use crate::settings::PoolSettings;
 use prelude::{AccountId, Avoided, BoxId, DataCentreId, OwnerId, PartnerId, PermitId};
 
 const SLOW: TargetId = TargetId(1);
@@ -35,13 +35,13 @@
         max_tokens,
         rank: 1,
         pause_goal_ms,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: 1_000_000,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -102,17 +102,17 @@
 /// Lets both engines prefill for half of the window before now.
 fn set_prefilling(pool: &mut Pool) {
     for ledger in pool.engines.iter_mut() {
-        ledger.spans.set_prefilling(true, NOW_MS - 1_000);
-        ledger.spans.set_prefilling(false, NOW_MS);
+        ledger.prefill_spans.set_prefilling(true, NOW_MS - 1_000);
+        ledger.prefill_spans.set_prefilling(false, NOW_MS);
     }
 }
 
 fn place(pool: &mut Pool, demand: Demand) -> TargetId {
     assert!(matches!(
         pool.submit(demand, NOW_MS),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
-    match pool.run(NOW_MS).as_slice() {
+    match pool.schedule(NOW_MS).as_slice() {
         [(_, Verdict::Granted { target })] => *target,
         other => panic!("{other:?}"),
     }
@@ -171,7 +171,7 @@
     let mut memory_only = pool(without_pauses());
     for pool in [&mut with_pauses, &mut memory_only] {
         train(pool, 2.0);
-        let adopted = Adopted {
+        let adopted = RunningStream {
             demand: demand(1, LONG, Some(GOAL_MS)),
             target: SLOW,
             generated_tokens: 40,
@@ -186,7 +186,7 @@
 fn a_stream_that_already_missed_its_pause_goal_is_not_protected() {
     let mut pool = pool(PoolSettings::default());
     train(&mut pool, 2.0);
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
         generated_tokens: 40,
@@ -217,7 +217,7 @@
 #[test]
 fn a_new_dispatcher_places_by_memory_until_it_has_observed_events() {
     let mut new_dispatcher = pool(PoolSettings::default());
-    let adopted = Adopted {
+    let adopted = RunningStream {
         demand: demand(1, LONG, Some(GOAL_MS)),
         target: SLOW,
         generated_tokens: 40,
--- a/components/policy/src/pace/observation.rs
+++ b/components/policy/src/pace/observation.rs
@@ -51,7 +51,7 @@
         }
         let key = *self.by_permit.get(&permit)?;
         let stream = self.streams.get_mut(key)?;
-        stream.longest_ms = stream.longest_ms.max(u32::from(gaps.longest_ms));
+        stream.longest_pause_ms = stream.longest_pause_ms.max(u32::from(gaps.longest_ms));
         let target = stream.target;
         if self.settings.learns_pace && self.pace_model.is_baseline_due(now_ms) {
             let engines = self.engines.iter().map(|ledger| &ledger.pace);
@@ -63,8 +63,11 @@
             target,
             gaps,
             streams: ledger.streams.len() as u32,
-            prefill_share: ledger.spans.share(span_ms, now_ms),
-            overlaps_prefill: ledger.spans.share(span_ms + REPORT_DELAY_MS, now_ms) > 0.0,
+            prefill_share: ledger.prefill_spans.share(span_ms, now_ms),
+            overlaps_prefill: ledger
+                .prefill_spans
+                .share(span_ms + REPORT_DELAY_MS, now_ms)
+                > 0.0,
             expected_ms: None,
         };
         if self.settings.learns_pace {
--- a/components/policy/src/pace/status.rs
+++ b/components/policy/src/pace/status.rs
@@ -56,11 +56,11 @@
     pub fn pause_prediction(&self, permit: PermitId) -> Option<PausePrediction> {
         let stream = self.streams.get(*self.by_permit.get(&permit)?)?;
         let goal_ms = stream.pause_goal_ms;
-        (stream.longest_ms > 0).then_some(PausePrediction {
+        (stream.longest_pause_ms > 0).then_some(PausePrediction {
             target: stream.target,
-            predicted_ms: stream.foretold_ms?,
-            observed_ms: stream.longest_ms,
-            exceeds_goal: goal_ms.is_some_and(|goal_ms| stream.longest_ms > goal_ms),
+            predicted_ms: stream.predicted_pause_ms?,
+            observed_ms: stream.longest_pause_ms,
+            exceeds_goal: goal_ms.is_some_and(|goal_ms| stream.longest_pause_ms > goal_ms),
         })
     }
 
@@ -100,10 +100,10 @@
     if ledger.state != EngineState::Live {
         return Some("it accepts no new requests".into());
     }
-    if !ledger.bears_one_more(now_ms) {
+    if !ledger.within_rate_limits(now_ms) {
         return Some("it is at its cold-start limit or its rate limit".into());
     }
-    if ledger.is_backed_up(now_ms) {
+    if ledger.has_memory_backlog(now_ms) {
         return Some("requests are queued there for memory".into());
     }
     let is_avoided = long_pauses >= AVOIDED_LONG_PAUSES;
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -1,15 +1,15 @@
-//! Placement by what one box sees alone: the baselines, and what a box falls back on while its
+//! Placement by the local knowledge of one box: the baseline policies, and the fallback while its
 //! dispatcher is silent.
 
 use crate::demand::Verdict;
-use crate::kind::PolicyKind;
 use crate::placement::ledger::EngineState;
+use crate::settings::PolicyKind;
 use prelude::{Avoided, PermitId, Refusal, RefusalReason, TargetId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// An engine as one box sees it.
+/// An engine as seen by one box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalTarget {
     /// The engine.
@@ -17,16 +17,16 @@
     /// Whether it takes new work.
     pub state: EngineState,
     /// Streams that this box has open there.
-    pub own_open: u32,
+    pub open_streams: u32,
     /// Streams that this box opened since the last report.
-    pub own_since_report: u32,
-    /// Requests that run or wait there, by its last report.
-    pub reported: u32,
+    pub opened_since_report: u32,
+    /// Requests that run or wait there according to its last report.
+    pub reported_requests: u32,
 }
 
 impl LocalTarget {
     fn load(&self) -> u32 {
-        (self.reported + self.own_since_report).max(self.own_open)
+        (self.reported_requests + self.opened_since_report).max(self.open_streams)
     }
 }
 
@@ -36,7 +36,7 @@
     avoid: Avoided,
 }
 
-/// What one box knows of a pool, and the requests that wait for room under a concurrency limit.
+/// One box's view of a pool, and the requests waiting under the concurrency limit.
 pub struct LocalPool {
     kind: PolicyKind,
     limit: u32,
@@ -46,11 +46,12 @@
     rng: ChaCha8Rng,
 }
 
-/// When a caller who was refused shall come back, where nothing better is known.
+/// Default time after which a refused caller should retry.
 const RETRY_AFTER_MS: u64 = 1000;
 
 impl LocalPool {
-    /// An empty pool. `limit` is the number of open streams an engine may have, 0 for no limit.
+    /// Creates an empty pool. `limit` is the maximum number of open streams per engine, 0 for no
+    /// limit.
     pub fn new(kind: PolicyKind, limit: u32, seed: u64) -> Self {
         Self {
             kind,
@@ -62,38 +63,38 @@
         }
     }
 
-    /// Changes policy and limit.
-    pub fn set_kind(&mut self, kind: PolicyKind, limit: u32) {
+    /// Changes the policy and the limit.
+    pub fn set_policy(&mut self, kind: PolicyKind, limit: u32) {
         self.kind = kind;
         self.limit = limit;
     }
 
-    /// Sets which engines there are and whether they take new work.
+    /// Replaces the list of engines and their states.
     pub fn set_targets(&mut self, targets: &[(TargetId, EngineState)]) {
-        let known = std::mem::take(&mut self.targets);
+        let previous = std::mem::take(&mut self.targets);
         for (id, state) in targets {
-            let mut target = known.iter().find(|target| target.id == *id).copied();
+            let mut target = previous.iter().find(|target| target.id == *id).copied();
             let target = target.get_or_insert(LocalTarget {
                 id: *id,
                 state: *state,
-                own_open: 0,
-                own_since_report: 0,
-                reported: 0,
+                open_streams: 0,
+                opened_since_report: 0,
+                reported_requests: 0,
             });
             target.state = *state;
             self.targets.push(*target);
         }
     }
 
-    /// Takes an engine's report in.
-    pub fn report(&mut self, target: TargetId, running: u32, waiting: u32) {
+    /// Applies an engine's report.
+    pub fn apply_report(&mut self, target: TargetId, running: u32, waiting: u32) {
         if let Some(known) = self.target_mut(target) {
-            known.reported = running + waiting;
-            known.own_since_report = 0;
+            known.reported_requests = running + waiting;
+            known.opened_since_report = 0;
         }
     }
 
-    /// Adds a request that waits.
+    /// Queues a request.
     pub fn submit(&mut self, permit: PermitId, deadline_ms: u64, avoid: Avoided) {
         self.queue.push_back(Waiting {
             permit,
@@ -102,13 +103,13 @@
         });
     }
 
-    /// Takes back a request that waits.
+    /// Removes a queued request.
     pub fn withdraw(&mut self, permit: PermitId) {
         self.queue.retain(|waiting| waiting.permit != permit);
     }
 
-    /// Places what there is room for, in the order of arrival.
-    pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
+    /// Places requests in order of arrival while there is room.
+    pub fn schedule(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         let mut verdicts = Vec::new();
         while let Some(waiting) = self.queue.front() {
             let (permit, avoid) = (waiting.permit, waiting.avoid);
@@ -133,27 +134,27 @@
         verdicts
     }
 
-    /// Notes a stream that another way of placing opened.
+    /// Records a stream that was opened here or by a dispatcher's grant.
     pub fn opened(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
-            known.own_open += 1;
-            known.own_since_report += 1;
+            known.open_streams += 1;
+            known.opened_since_report += 1;
         }
     }
 
-    /// Notes that a stream ended.
+    /// Records that a stream ended.
     pub fn closed(&mut self, target: TargetId) {
         if let Some(known) = self.target_mut(target) {
-            known.own_open = known.own_open.saturating_sub(1);
+            known.open_streams = known.open_streams.saturating_sub(1);
         }
     }
 
-    /// What is known of each engine.
+    /// The known state of each engine.
     pub fn targets(&self) -> &[LocalTarget] {
         &self.targets
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
@@ -167,32 +168,34 @@
         let has_room = |target: &&LocalTarget| {
             target.state == EngineState::Live && (limit == 0 || target.load() < limit)
         };
-        let open: Vec<LocalTarget> = self.targets.iter().filter(has_room).copied().collect();
-        let preferred: Vec<LocalTarget> = open
+        let available: Vec<LocalTarget> = self.targets.iter().filter(has_room).copied().collect();
+        let preferred: Vec<LocalTarget> = available
             .iter()
             .filter(|target| !avoid.contains(target.id))
             .copied()
             .collect();
-        let choices = if preferred.is_empty() {
-            open
+        let candidates = if preferred.is_empty() {
+            available
         } else {
             preferred
         };
-        if choices.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let chosen = match self.kind {
             PolicyKind::RoundRobin => {
                 self.next = self.next.wrapping_add(1);
-                choices[self.next % choices.len()]
+                candidates[self.next % candidates.len()]
             }
             PolicyKind::LeastLoad => {
-                let least = choices.iter().min_by_key(|target| target.reported);
-                *least.unwrap_or(&choices[0])
+                let least = candidates
+                    .iter()
+                    .min_by_key(|target| target.reported_requests);
+                *least.unwrap_or(&candidates[0])
             }
             PolicyKind::TwoChoices | PolicyKind::Shuntpier | PolicyKind::Oracle => {
-                let first = choices[self.rng.random_range(0..choices.len())];
-                let second = choices[self.rng.random_range(0..choices.len())];
+                let first = candidates[self.rng.random_range(0..candidates.len())];
+                let second = candidates[self.rng.random_range(0..candidates.len())];
                 if second.load() < first.load() {
                     second
                 } else {
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::demand::Adopted;
+use crate::demand::RunningStream;
 use crate::fairness::tree::Share;
-use crate::holders::SILENT_BOX_MS;
+use crate::holders::BOX_TIMEOUT_MS;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState};
 use crate::placement::length::LengthClass;
 use prelude::{
@@ -24,7 +24,7 @@
         .collect();
     pool.set_engines(&infos);
     for (id, _) in engines {
-        pool.report(*id, EngineReport::default(), 0);
+        pool.apply_report(*id, EngineReport::default(), 0);
     }
     pool
 }
@@ -56,13 +56,13 @@
         max_tokens: 1000,
         rank: 5,
         pause_goal_ms: None,
-        since_ms: 0,
+        arrived_ms: 0,
         deadline_ms: 1000,
-        leaves_ms: u64::MAX,
+        caller_deadline_ms: u64::MAX,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
 
@@ -75,27 +75,27 @@
 }
 
 #[test]
-fn spreads_over_engines_by_room() {
+fn spreads_requests_over_engines_by_free_memory() {
     let mut pool = pool(&[(ENGINE, 10_000), (OTHER_ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 1000), 0);
     pool.submit(demand(2, 1, 1000), 0);
-    let grants = granted(&pool.run(0));
+    let grants = granted(&pool.schedule(0));
     assert_ne!(grants[0].1, grants[1].1);
 }
 
 #[test]
-fn waits_where_memory_would_fill() {
+fn queues_a_request_that_does_not_fit_in_memory() {
     let mut pool = pool(&[(ENGINE, 2000)]);
     for serial in 1..=3 {
         pool.submit(demand(serial, 1, 1000), 0);
     }
-    assert_eq!(granted(&pool.run(0)).len(), 1);
-    pool.release(permit(1), 10, End::Finished);
-    assert_eq!(granted(&pool.run(1)).len(), 1);
+    assert_eq!(granted(&pool.schedule(0)).len(), 1);
+    pool.release(permit(1), 10, StreamEnd::Finished);
+    assert_eq!(granted(&pool.schedule(1)).len(), 1);
 }
 
 #[test]
-fn keeps_one_engine_for_a_large_request_and_lets_small_ones_use_the_others() {
+fn reserves_one_engine_for_a_large_request_while_small_ones_use_the_others() {
     let mut pool = pool(&[(ENGINE, 2000), (OTHER_ENGINE, 2000)]);
     let patient = |serial, prompt| Demand {
         deadline_ms: u64::MAX,
@@ -103,31 +103,31 @@
     };
     pool.submit(patient(1, 600), 0);
     pool.submit(patient(2, 600), 0);
-    assert_eq!(granted(&pool.run(0)).len(), 2);
+    assert_eq!(granted(&pool.schedule(0)).len(), 2);
     pool.submit(patient(3, 1700), 0);
     let late_ms = PoolSettings::default().pass_limit_ms + 1;
     pool.submit(patient(4, 100), late_ms);
     pool.submit(patient(5, 100), late_ms);
-    let small = granted(&pool.run(late_ms));
+    let small = granted(&pool.schedule(late_ms));
     assert_eq!(small.len(), 2);
     assert_eq!(small[0].1, small[1].1);
-    let kept = if small[0].1 == ENGINE {
+    let reserved = if small[0].1 == ENGINE {
         OTHER_ENGINE
     } else {
         ENGINE
     };
-    let on_kept: Vec<PermitId> = [1, 2]
+    let on_reserved: Vec<PermitId> = [1, 2]
         .map(permit)
         .into_iter()
-        .filter(|id| pool.streams[pool.by_permit[id]].target == kept)
+        .filter(|id| pool.streams[pool.by_permit[id]].target == reserved)
         .collect();
-    assert_eq!(on_kept.len(), 1);
-    pool.release(on_kept[0], 10, End::Finished);
-    assert_eq!(granted(&pool.run(late_ms + 1)), [(3, kept)]);
+    assert_eq!(on_reserved.len(), 1);
+    pool.release(on_reserved[0], 10, StreamEnd::Finished);
+    assert_eq!(granted(&pool.schedule(late_ms + 1)), [(3, reserved)]);
 }
 
 #[test]
-fn waits_for_the_first_report_of_an_engine() {
+fn grants_nothing_before_the_first_report_of_an_engine() {
     let mut pool = Pool::new(PoolSettings::default());
     let info = EngineInfo {
         id: ENGINE,
@@ -137,35 +137,35 @@
     };
     pool.set_engines(&[info]);
     pool.submit(demand(1, 1, 100), 0);
-    assert!(granted(&pool.run(0)).is_empty());
+    assert!(granted(&pool.schedule(0)).is_empty());
     let full = EngineReport {
         memory_share: 0.95,
         ..EngineReport::default()
     };
-    pool.report(ENGINE, full, 10);
-    assert!(granted(&pool.run(10)).is_empty());
-    pool.report(ENGINE, EngineReport::default(), 20);
+    pool.apply_report(ENGINE, full, 10);
+    assert!(granted(&pool.schedule(10)).is_empty());
+    pool.apply_report(ENGINE, EngineReport::default(), 20);
     for at_ms in 20..60 {
-        pool.report(ENGINE, EngineReport::default(), at_ms);
+        pool.apply_report(ENGINE, EngineReport::default(), at_ms);
     }
-    assert_eq!(granted(&pool.run(60)).len(), 1);
+    assert_eq!(granted(&pool.schedule(60)).len(), 1);
 }
 
 #[test]
-fn refuses_when_the_deadline_passes() {
+fn refuses_a_queued_request_when_its_deadline_passes() {
     let mut pool = pool(&[(ENGINE, 1500)]);
-    // It should end soon, and does not.
+    // The forecast expects this stream to end soon, but it does not.
     let short = Demand {
         max_tokens: 10,
         ..demand(1, 1, 1000)
     };
     pool.submit(short, 0);
-    pool.run(0);
+    pool.schedule(0);
     assert!(matches!(
         pool.submit(demand(2, 1, 1000), 0),
-        Submitted::Waits { .. }
+        SubmitOutcome::Queued { .. }
     ));
-    let verdicts = pool.run(1000);
+    let verdicts = pool.schedule(1000);
     let Verdict::Refused(refusal) = verdicts[0].1 else {
         panic!("{verdicts:?}");
     };
@@ -174,20 +174,23 @@
 }
 
 #[test]
-fn refuses_at_once_what_would_wait_too_long() {
+fn refuses_immediately_when_the_expected_wait_exceeds_the_deadline() {
     let mut pool = pool(&[(ENGINE, 1500)]);
     let mut refused = 0;
     for serial in 0..100 {
         let now_ms = serial * 100;
         let mut next = demand(serial, 1, 1000);
-        next.since_ms = now_ms;
+        next.arrived_ms = now_ms;
         next.deadline_ms = now_ms + 1000;
-        refused += usize::from(matches!(pool.submit(next, now_ms), Submitted::Refused(_)));
-        pool.run(now_ms);
+        refused += usize::from(matches!(
+            pool.submit(next, now_ms),
+            SubmitOutcome::Refused(_)
+        ));
+        pool.schedule(now_ms);
         if serial % 5 == 4 {
             let held: Vec<PermitId> = pool.by_permit.keys().copied().collect();
             held.into_iter()
-                .for_each(|permit| pool.release(permit, 5, End::Finished));
+                .for_each(|permit| pool.release(permit, 5, StreamEnd::Finished));
         }
     }
     assert!(refused > 20, "{refused}");
@@ -196,7 +199,7 @@
 #[test]
 fn refuses_a_prompt_that_fits_no_engine() {
     let mut pool = pool(&[(ENGINE, 1500)]);
-    let Submitted::Refused(refusal) = pool.submit(demand(1, 1, 2000), 0) else {
+    let SubmitOutcome::Refused(refusal) = pool.submit(demand(1, 1, 2000), 0) else {
         panic!();
     };
     assert_eq!(refusal.reason, RefusalReason::TooLarge);
@@ -208,66 +211,66 @@
     pool.set_state(ENGINE, EngineState::Leaving);
     assert!(matches!(
         pool.submit(demand(1, 1, 10), 0),
-        Submitted::Refused(_)
+        SubmitOutcome::Refused(_)
     ));
 }
 
 #[test]
-fn keeps_room_for_load_it_did_not_place() {
+fn leaves_memory_for_load_from_elsewhere() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     let report = EngineReport {
         memory_share: 0.95,
         ..EngineReport::default()
     };
     for at_ms in 0..50 {
-        pool.run(at_ms * 100);
-        pool.report(ENGINE, report, at_ms * 100);
+        pool.schedule(at_ms * 100);
+        pool.apply_report(ENGINE, report, at_ms * 100);
     }
     let mut late = demand(1, 1, 1000);
     late.deadline_ms = 99_000;
     pool.submit(late, 5000);
-    assert!(granted(&pool.run(5000)).is_empty());
+    assert!(granted(&pool.schedule(5000)).is_empty());
 }
 
 #[test]
-fn widens_its_margin_on_preemptions() {
+fn widens_the_margin_on_preemptions() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     let report = |preemptions| EngineReport {
         preemptions,
         incarnation: TargetIncarnation(1),
         ..EngineReport::default()
     };
-    pool.report(ENGINE, report(0), 0);
+    pool.apply_report(ENGINE, report(0), 0);
     let before = pool.margin;
-    pool.report(ENGINE, report(3), 1);
+    pool.apply_report(ENGINE, report(3), 1);
     assert!(pool.margin > before);
 }
 
 #[test]
-fn tells_when_a_permit_is_not_known() {
+fn progress_of_an_unknown_permit_is_rejected_until_the_stream_is_adopted() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
-    assert!(!pool.progress(permit(1), 5, 0));
-    let adopted = Adopted {
+    assert!(!pool.record_progress(permit(1), 5, 0));
+    let adopted = RunningStream {
         demand: demand(1, 1, 100),
         target: ENGINE,
         generated_tokens: 5,
     };
     pool.adopt(adopted, 0);
-    assert!(pool.progress(permit(1), 6, 0));
+    assert!(pool.record_progress(permit(1), 6, 0));
     assert_eq!(pool.view(0).engines[0].streams, 1);
 }
 
 #[test]
-fn drops_the_permits_of_a_silent_box() {
+fn releases_the_permits_of_a_silent_box() {
     let mut pool = pool(&[(ENGINE, 10_000)]);
     pool.submit(demand(1, 1, 100), 0);
-    pool.run(0);
-    pool.forget_silent(SILENT_BOX_MS + 1);
+    pool.schedule(0);
+    pool.expire_silent_boxes(BOX_TIMEOUT_MS + 1);
     assert_eq!(pool.view(0).engines[0].streams, 0);
 }
 
 #[test]
-fn serves_owners_alike_where_one_is_greedy() {
+fn serves_owners_equally_when_one_submits_twice_as_many_requests() {
     let mut pool = pool(&[(ENGINE, 2500)]);
     let mut serial = 0;
     let mut served: HashMap<OwnerId, u32> = HashMap::new();
@@ -277,33 +280,33 @@
                 serial += 1;
                 let mut next = demand(serial, owner, 500);
                 next.deadline_ms = u64::MAX;
-                next.since_ms = round;
+                next.arrived_ms = round;
                 pool.submit(next, round);
             }
         }
-        for (permit, _) in granted(&pool.run(round))
+        for (permit, _) in granted(&pool.schedule(round))
             .into_iter()
             .map(|(s, t)| (permit(s), t))
         {
             let owner = pool.streams[pool.by_permit[&permit]].share.owner;
             *served.entry(owner).or_default() += 1;
-            pool.release(permit, 100, End::Finished);
+            pool.release(permit, 100, StreamEnd::Finished);
         }
     }
-    let (greedy, modest) = (served[&OwnerId(1)], served[&OwnerId(2)]);
-    assert!(greedy.abs_diff(modest) <= 2, "{greedy} {modest}");
+    let (heavy, light) = (served[&OwnerId(1)], served[&OwnerId(2)]);
+    assert!(heavy.abs_diff(light) <= 2, "{heavy} {light}");
 }
 
 #[test]
-fn a_permit_that_its_box_has_not_heard_of_yet_keeps_its_room() {
+fn a_permit_in_flight_to_its_box_keeps_its_memory() {
     let mut pool = pool(&[(ENGINE, 2_500)]);
     pool.submit(demand(1, 1, 1_000), 0);
     pool.submit(demand(2, 1, 1_000), 0);
-    assert_eq!(granted(&pool.run(0)).len(), 2);
-    // The box tells what it has open; the second permit was on its way when it did.
-    let known = HashSet::from([permit(1)]);
-    pool.keep_only(permit(1).entry, &known, 10);
+    assert_eq!(granted(&pool.schedule(0)).len(), 2);
+    // The box lists its open streams while the second permit is still in flight to it.
+    let reported = HashSet::from([permit(1)]);
+    pool.reconcile_permits(permit(1).entry, &reported, 10);
     assert_eq!(pool.streams_of(permit(1).entry), 2);
-    pool.keep_only(permit(1).entry, &known, 1_000);
+    pool.reconcile_permits(permit(1).entry, &reported, 1_000);
     assert_eq!(pool.streams_of(permit(1).entry), 1);
 }
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -5,8 +5,8 @@
 use crate::state::Relay;
 use peers::{AcquireRequest, AdoptedStream, OpenStreams, PermitReply, UpdateReply, UpdateRequest};
 use policy::{
-    Adopted, Demand, End, LengthClass, Pool, PoolSettings, ReadingPolicy, Submitted, Turns,
-    Verdict, WaitingPolicy,
+    Demand, LengthClass, Pool, PoolSettings, PrefillPolicy, RunningStream, StreamEnd,
+    SubmitOutcome, TransferSlots, Verdict, WaitingPolicy,
 };
 use prelude::{
     BoxId, DataCentreId, PermitId, PoolId, Refusal, RefusalReason, TargetId, TargetIncarnation,
@@ -40,7 +40,7 @@
     pub(crate) pool: Pool,
     pub(super) waiting: HashMap<PermitId, Waiting>,
     /// None where copies do not go one after another.
-    pub(super) turns: Option<Turns>,
+    pub(super) turns: Option<TransferSlots>,
     /// Nothing is granted before this time.
     pub(super) grants_from_ms: u64,
     /// When boxes were last told that this one dispatches.
@@ -72,9 +72,9 @@
             false => WaitingPolicy::Pace,
         },
         ranks: file.has(Mechanism::RankOrder),
-        reading: match file.has(Mechanism::ReadingForecast) {
-            true => ReadingPolicy::FirstToken,
-            false => ReadingPolicy::Bound,
+        prefill: match file.has(Mechanism::ReadingForecast) {
+            true => PrefillPolicy::FirstToken,
+            false => PrefillPolicy::Bound,
         },
         prefill_tokens: match file.has(Mechanism::ReadingBound) {
             true => PREFILL_TOKENS,
@@ -106,7 +106,7 @@
         Self {
             pool: pool_of_settings(file),
             waiting: HashMap::new(),
-            turns: file.has(Mechanism::Turns).then(Turns::default),
+            turns: file.has(Mechanism::Turns).then(TransferSlots::default),
             grants_from_ms: 0,
             said_ms: 0,
             began_ms: now_ms,
@@ -126,7 +126,7 @@
         if now_ms < self.grants_from_ms {
             return;
         }
-        for (permit, verdict) in self.pool.run(now_ms) {
+        for (permit, verdict) in self.pool.schedule(now_ms) {
             let Some(waiting) = self.waiting.remove(&permit) else {
                 continue;
             };
@@ -138,7 +138,7 @@
             }
             if waiting.asker.send(verdict).is_err() {
                 // Whoever asked has left: the permit is free again.
-                self.pool.release(permit, 0, End::Censored);
+                self.pool.release(permit, 0, StreamEnd::Censored);
             }
         }
     }
@@ -197,13 +197,13 @@
             max_tokens: request.max_tokens,
             rank: request.rank,
             pause_goal_ms: request.pause_goal_ms,
-            since_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
+            arrived_ms: now_ms.saturating_sub(u64::from(request.waited_ms)),
             deadline_ms: now_ms + u64::from(request.wait_left_ms),
-            leaves_ms: now_ms + u64::from(request.caller_left_ms),
+            caller_deadline_ms: now_ms + u64::from(request.caller_left_ms),
             prefix: request.prefix,
-            told_tokens: request.told_tokens,
+            oracle_tokens: request.told_tokens,
             avoid: request.avoid,
-            near: Some(self.data_centre_of(request.permit.entry)),
+            preferred_data_centre: Some(self.data_centre_of(request.permit.entry)),
         }
     }
 
@@ -224,20 +224,20 @@
             let waiting = Waiting {
                 asker,
                 rank: demand.rank,
-                since_ms: demand.since_ms,
+                since_ms: demand.arrived_ms,
             };
             dispatcher.waiting.insert(request.permit, waiting);
             // It is asked with a time to wait once a dispatcher let it wait.
             let taken = match wait_ms > 0 {
-                true => dispatcher.pool.submit_again(demand.clone(), now_ms),
+                true => dispatcher.pool.resubmit(demand.clone(), now_ms),
                 false => dispatcher.pool.submit(demand.clone(), now_ms),
             };
             match taken {
-                Submitted::Refused(refusal) => {
+                SubmitOutcome::Refused(refusal) => {
                     dispatcher.waiting.remove(&request.permit);
                     Some(dispatcher.refused(refusal, &demand))
                 }
-                Submitted::Waits { .. } => {
+                SubmitOutcome::Queued { .. } => {
                     dispatcher.decide(now_ms);
                     None
                 }
@@ -284,27 +284,27 @@
             for progress in &request.progress {
                 let permit = permit(progress.serial);
                 self.gaps_told(pool, permit, &progress.gaps, now_ms);
-                let is_first = pool.waits_for_first_token(permit) && progress.tokens > 0;
-                known &= pool.progress(permit, progress.tokens, now_ms);
+                let is_first = pool.awaits_first_token(permit) && progress.tokens > 0;
+                known &= pool.record_progress(permit, progress.tokens, now_ms);
                 self.made_event(pool.target_of(permit), is_first, now_ms);
             }
             for ended in &request.ended {
                 let end = match ended.finished {
-                    true => End::Finished,
-                    false => End::Censored,
+                    true => StreamEnd::Finished,
+                    false => StreamEnd::Censored,
                 };
                 self.gaps_told(pool, permit(ended.serial), &ended.gaps, now_ms);
                 self.note_pause(pool, permit(ended.serial), now_ms);
                 if ended.tokens > 0 {
                     let (target, is_first) = (
                         pool.target_of(permit(ended.serial)),
-                        pool.waits_for_first_token(permit(ended.serial)),
+                        pool.awaits_first_token(permit(ended.serial)),
                     );
                     self.made_event(target, is_first, now_ms);
                 }
                 pool.release(permit(ended.serial), ended.tokens, end);
             }
-            pool.forget_silent(now_ms);
+            pool.expire_silent_boxes(now_ms);
             let resync = !known || pool.streams_of(request.from) != request.open_streams as usize;
             dispatcher.decide(now_ms);
             UpdateReply { resync }
@@ -325,9 +325,9 @@
             let kept: HashSet<PermitId> = demands.iter().map(|(d, _)| d.permit).collect();
             let was_away = dispatcher.pool.adopt_usage(from, &used, now_ms);
             let says_again = was_away && dispatcher.dispatched_elsewhere(now_ms);
-            dispatcher.pool.keep_only(from, &kept, now_ms);
+            dispatcher.pool.reconcile_permits(from, &kept, now_ms);
             for (demand, stream) in demands {
-                let adopted = Adopted {
+                let adopted = RunningStream {
                     demand,
                     target: stream.target,
                     generated_tokens: stream.tokens,
@@ -354,7 +354,7 @@
     fn show_forecasts(&self) {
         for dispatcher in self.dispatchers.borrow().values() {
             metrics::gauge!("shuntpier_engines_looked_at")
-                .set(dispatcher.pool.engines_looked_at() as f64);
+                .set(dispatcher.pool.engines_checked() as f64);
             for (rank, correction) in dispatcher.pool.forecast_corrections() {
                 let rank = rank.to_string();
                 metrics::gauge!("shuntpier_forecast_correction", "rank" => rank).set(correction);
