--- a/components/policy/src/balance/failures.rs
+++ b/components/policy/src/balance/failures.rs
@@ -22,7 +22,7 @@
 const DEPRIORITIZED_MS: u64 = 1_000;
 /// How long after a deprioritization one more unanswered call of any box is enough to deprioritize the target again. Also
 /// how long a target stays suspected after an unanswered call of one box, so that others prefer targets that have room.
-const MEMORY_MS: u64 = 4_000;
+const SUSPICION_TTL_MS: u64 = 4_000;
 
 /// Exponentially weighted failure rate of a route's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -99,8 +99,8 @@
         let is_corroborated = self
             .last_failure
             .is_some_and(|(box_id, at_ms)| box_id != source && now_ms < at_ms + CORROBORATION_MS);
-        let is_repeated =
-            self.deprioritized_until_ms > 0 && now_ms < self.deprioritized_until_ms + MEMORY_MS;
+        let is_repeated = self.deprioritized_until_ms > 0
+            && now_ms < self.deprioritized_until_ms + SUSPICION_TTL_MS;
         if is_corroborated || is_repeated {
             self.deprioritized_until_ms = now_ms + DEPRIORITIZED_MS;
         }
@@ -115,7 +115,7 @@
     /// Whether any box got no answer lately, because of its own link or of the target.
     pub fn is_suspected(&self, now_ms: u64) -> bool {
         self.last_failure
-            .is_some_and(|(_, at_ms)| now_ms < at_ms + MEMORY_MS)
+            .is_some_and(|(_, at_ms)| now_ms < at_ms + SUSPICION_TTL_MS)
     }
 
     /// Whether calls should go to other targets where possible.
--- a/components/policy/src/balance/hedge.rs
+++ b/components/policy/src/balance/hedge.rs
@@ -13,9 +13,9 @@
     let Some(baseline_ms) = baseline_ms else {
         return max_ms as u64;
     };
-    let latest_ms = goal_ms as f64 - SECOND_ATTEMPT_BASELINES * baseline_ms;
+    let latest_start_ms = goal_ms as f64 - SECOND_ATTEMPT_BASELINES * baseline_ms;
     let late_ms = LATE_BASELINES * baseline_ms;
-    latest_ms.max(late_ms).clamp(1.0, max_ms.max(1.0)) as u64
+    latest_start_ms.max(late_ms).clamp(1.0, max_ms.max(1.0)) as u64
 }
 
 #[cfg(test)]
