--- a/components/policy/src/pace/disturbance.rs
+++ b/components/policy/src/pace/disturbance.rs
@@ -28,9 +28,9 @@
 pub struct DisturbanceStats {
     observations: f64,
     span_ms: f64,
-    excess: f64,
-    disturbed: f64,
-    slowdown: f64,
+    excess_sum: f64,
+    disturbed_reports: f64,
+    slowdown_sum: f64,
 }
 
 /// Expected disturbances of an engine.
@@ -51,9 +51,10 @@
         let longest = ratios.longest.min(MAX_SLOWDOWN);
         self.observations = self.observations * DECAY + 1.0;
         self.span_ms = self.span_ms * DECAY + ratios.span_ms;
-        self.excess = self.excess * DECAY + disturbed * (ratios.mean.min(longest) - 1.0).max(0.0);
-        self.disturbed = self.disturbed * DECAY + disturbed;
-        self.slowdown = self.slowdown * DECAY + disturbed * longest;
+        self.excess_sum =
+            self.excess_sum * DECAY + disturbed * (ratios.mean.min(longest) - 1.0).max(0.0);
+        self.disturbed_reports = self.disturbed_reports * DECAY + disturbed;
+        self.slowdown_sum = self.slowdown_sum * DECAY + disturbed * longest;
     }
 
     /// Whether there was any report.
@@ -61,28 +62,29 @@
         self.observations > 0.0
     }
 
+    /// Adds the pool's mean, with a weight of at most [`POOL_WEIGHT`] observations.
     fn with_prior(&self, pool: &Self) -> Self {
         let weight = POOL_WEIGHT / pool.observations.max(POOL_WEIGHT);
         let blend = |own: f64, pool: f64| own + weight * pool;
         Self {
             observations: blend(self.observations, pool.observations),
             span_ms: blend(self.span_ms, pool.span_ms),
-            excess: blend(self.excess, pool.excess),
-            disturbed: blend(self.disturbed, pool.disturbed),
-            slowdown: blend(self.slowdown, pool.slowdown),
+            excess_sum: blend(self.excess_sum, pool.excess_sum),
+            disturbed_reports: blend(self.disturbed_reports, pool.disturbed_reports),
+            slowdown_sum: blend(self.slowdown_sum, pool.slowdown_sum),
         }
     }
 
     /// Expected disturbances of an engine, by its own reports and those of its pool; none if no report was disturbed.
     pub fn expected(&self, pool: &Self) -> Option<Disturbance> {
         let all = self.with_prior(pool);
-        if all.disturbed <= 0.0 || all.observations <= 0.0 {
+        if all.disturbed_reports <= 0.0 || all.observations <= 0.0 {
             return None;
         }
-        let slowdown = (all.slowdown / all.disturbed).max(DISTURBED_RATIO);
-        let share = (all.excess / all.observations / (slowdown - 1.0)).clamp(0.001, 0.9);
+        let slowdown = (all.slowdown_sum / all.disturbed_reports).max(DISTURBED_RATIO);
+        let share = (all.excess_sum / all.observations / (slowdown - 1.0)).clamp(0.001, 0.9);
         // The probability that a report contains a disturbance follows from the share and from the duration of one.
-        let disturbed_share = (all.disturbed / all.observations).clamp(share, 0.99);
+        let disturbed_share = (all.disturbed_reports / all.observations).clamp(share, 0.99);
         let span_ms = all.span_ms / all.observations;
         let ln_undisturbed = ((1.0 - disturbed_share) / (1.0 - share)).min(0.999).ln();
         let duration_ms = span_ms * share / (-(1.0 - share) * ln_undisturbed);
--- a/components/policy/src/pace/impact.rs
+++ b/components/policy/src/pace/impact.rs
@@ -70,9 +70,9 @@
             return 0.0;
         };
         let window_ms = new.remaining_tokens / self.tokens_per_ms;
-        let own = new
-            .goal_ms
-            .map_or(0.0, |goal_ms| timing.long_pause(goal_ms, window_ms));
+        let own = new.goal_ms.map_or(0.0, |goal_ms| {
+            timing.long_pause_probability(goal_ms, window_ms)
+        });
         if new.prompt_tokens == 0.0 {
             return own;
         }
@@ -80,18 +80,19 @@
             .streams
             .iter()
             .filter_map(|key| self.streams.get(*key));
-        let others = streams.map(|stream| self.long_pause_during_prefill(&timing, stream));
+        let others =
+            streams.map(|stream| self.long_pause_probability_during_prefill(&timing, stream));
         own + others.sum::<f64>()
     }
 
     /// Probability that a stream pauses beyond its goal while a prompt is prefilled.
-    fn long_pause_during_prefill(&self, timing: &EventTiming, stream: &Stream) -> f64 {
+    fn long_pause_probability_during_prefill(&self, timing: &EventTiming, stream: &Stream) -> f64 {
         let Some(goal_ms) = stream.goal_left_ms() else {
             return 0.0;
         };
         let remaining_ms = stream.rest_tokens() / self.tokens_per_ms;
         let window_ms = timing.prefill_ms.min(remaining_ms);
-        timing.long_pause_during_prefill(f64::from(goal_ms), window_ms)
+        timing.long_pause_probability_during_prefill(f64::from(goal_ms), window_ms)
     }
 
     /// Cost in tokens of the long pauses that are expected if a request is placed at an engine, to be added to the cost of
@@ -101,8 +102,9 @@
             return 0.0;
         }
         let settings = self.settings;
-        let each = f64::from(settings.long_pause_ms) * f64::from(settings.reading_tokens_per_ms);
-        self.expected_long_pauses(ledger, new) * each
+        let cost_per_pause =
+            f64::from(settings.long_pause_ms) * f64::from(settings.reading_tokens_per_ms);
+        self.expected_long_pauses(ledger, new) * cost_per_pause
     }
 }
 
--- a/components/policy/src/pace/model.rs
+++ b/components/policy/src/pace/model.rs
@@ -20,7 +20,7 @@
     /// Mean error of its predicted times between events, as a share of the observed ones.
     pub error_share: f64,
     /// Its expected disturbances, computed with each report.
-    expected: Option<Disturbance>,
+    expected_disturbance: Option<Disturbance>,
 }
 
 /// The pace of a pool.
@@ -29,7 +29,7 @@
     steps: StepModel,
     disturbances: DisturbanceStats,
     /// Expected disturbances of an engine without reports.
-    expected: Option<Disturbance>,
+    expected_disturbance: Option<Disturbance>,
     baseline: PaceBaseline,
     baseline_updated_ms: Option<u64>,
 }
@@ -70,8 +70,8 @@
     /// Expected disturbances of an engine; none if none were observed.
     pub fn disturbance(&self, engine: &EnginePace) -> Option<Disturbance> {
         match engine.disturbances.is_known() {
-            true => engine.expected,
-            false => self.expected,
+            true => engine.expected_disturbance,
+            false => self.expected_disturbance,
         }
     }
 
@@ -96,14 +96,14 @@
         };
         let observed_ms = f64::from(gaps.mean_ms);
         let relative_pace = self.relative_pace(engine, now_ms);
-        let expected_ms = self.compare(engine, observation, load, now_ms);
+        let expected_ms = self.compare_with_prediction(engine, observation, load, now_ms);
         self.steps.observe(load, observed_ms / relative_pace);
         expected_ms
     }
 
     /// Compares an observation with its prediction, and updates the engine's pace, error and disturbances by it. Returns
     /// the prediction.
-    fn compare(
+    fn compare_with_prediction(
         &mut self,
         engine: &mut EnginePace,
         observation: &PaceObservation,
@@ -133,8 +133,8 @@
         };
         engine.disturbances.observe(&ratios);
         self.disturbances.observe(&ratios);
-        engine.expected = engine.disturbances.expected(&self.disturbances);
-        self.expected = DisturbanceStats::default().expected(&self.disturbances);
+        engine.expected_disturbance = engine.disturbances.expected(&self.disturbances);
+        self.expected_disturbance = DisturbanceStats::default().expected(&self.disturbances);
         Some(expected_ms)
     }
 }
--- a/components/policy/src/pace/pause_risk.rs
+++ b/components/policy/src/pace/pause_risk.rs
@@ -21,19 +21,19 @@
 }
 
 /// Probability that a pause of a predicted length exceeds the goal.
-fn exceeds_goal(pause_ms: f64, goal_ms: f64) -> f64 {
+fn exceedance_probability(pause_ms: f64, goal_ms: f64) -> f64 {
     let over = pause_ms / goal_ms - (1.0 - TOLERANCE_SHARE);
     (over / (2.0 * TOLERANCE_SHARE)).clamp(0.0, 1.0)
 }
 
 /// Probability that a condition that holds for a share of the time, for `duration_ms` at a time, holds at some point of a
 /// window.
-fn occurs(share: f64, duration_ms: f64, window_ms: f64) -> f64 {
+fn occurrence_probability(share: f64, duration_ms: f64, window_ms: f64) -> f64 {
     if share <= 0.0 || window_ms <= 0.0 {
         return 0.0;
     }
-    let free = (1.0 - share).max(0.001);
-    1.0 - free * (-window_ms * share / (free * duration_ms.max(1.0))).exp()
+    let absent_share = (1.0 - share).max(0.001);
+    1.0 - absent_share * (-window_ms * share / (absent_share * duration_ms.max(1.0))).exp()
 }
 
 impl EventTiming {
@@ -49,41 +49,47 @@
 
     /// Probabilities of a prefill, of a disturbance, and of both at once within a window.
     fn probabilities(&self, window_ms: f64) -> [f64; 3] {
-        let prefill = occurs(self.prefill_share, self.prefill_ms, window_ms);
+        let prefill = occurrence_probability(self.prefill_share, self.prefill_ms, window_ms);
         let Some(disturbance) = self.disturbance else {
             return [prefill, 0.0, 0.0];
         };
         let (share, duration_ms) = (disturbance.share, disturbance.duration_ms);
-        let disturbed = occurs(share, duration_ms, window_ms);
-        let both_ms = 1.0 / (1.0 / duration_ms.max(1.0) + 1.0 / self.prefill_ms.max(1.0));
-        let both = occurs(share * self.prefill_share, both_ms, window_ms);
+        let disturbed = occurrence_probability(share, duration_ms, window_ms);
+        let overlap_ms = 1.0 / (1.0 / duration_ms.max(1.0) + 1.0 / self.prefill_ms.max(1.0));
+        let both = occurrence_probability(share * self.prefill_share, overlap_ms, window_ms);
         [prefill, disturbed, both]
     }
 
     /// Probability of a pause beyond the goal within a window.
-    pub(crate) fn long_pause(&self, goal_ms: f64, window_ms: f64) -> f64 {
-        if exceeds_goal(self.max_pause_ms(), goal_ms) == 0.0 {
+    pub(crate) fn long_pause_probability(&self, goal_ms: f64, window_ms: f64) -> f64 {
+        if exceedance_probability(self.max_pause_ms(), goal_ms) == 0.0 {
             return 0.0;
         }
         let [prefill, disturbed, both] = self.probabilities(window_ms);
-        let no_long_pause = (1.0 - exceeds_goal(self.event_ms, goal_ms))
-            * (1.0 - prefill * exceeds_goal(self.prefill_event_ms, goal_ms))
-            * (1.0 - disturbed * exceeds_goal(self.event_ms * self.slowdown(), goal_ms))
-            * (1.0 - both * exceeds_goal(self.max_pause_ms(), goal_ms));
+        let no_long_pause = (1.0 - exceedance_probability(self.event_ms, goal_ms))
+            * (1.0 - prefill * exceedance_probability(self.prefill_event_ms, goal_ms))
+            * (1.0 - disturbed * exceedance_probability(self.event_ms * self.slowdown(), goal_ms))
+            * (1.0 - both * exceedance_probability(self.max_pause_ms(), goal_ms));
         1.0 - no_long_pause
     }
 
     /// Probability of a pause beyond the goal within a window in which a prompt is prefilled.
-    pub(crate) fn long_pause_during_prefill(&self, goal_ms: f64, window_ms: f64) -> f64 {
-        if exceeds_goal(self.max_pause_ms(), goal_ms) == 0.0 {
+    pub(crate) fn long_pause_probability_during_prefill(
+        &self,
+        goal_ms: f64,
+        window_ms: f64,
+    ) -> f64 {
+        if exceedance_probability(self.max_pause_ms(), goal_ms) == 0.0 {
             return 0.0;
         }
         let disturbed = match self.disturbance {
-            Some(disturbance) => occurs(disturbance.share, disturbance.duration_ms, window_ms),
+            Some(disturbance) => {
+                occurrence_probability(disturbance.share, disturbance.duration_ms, window_ms)
+            }
             None => 0.0,
         };
-        let no_long_pause = (1.0 - exceeds_goal(self.prefill_event_ms, goal_ms))
-            * (1.0 - disturbed * exceeds_goal(self.max_pause_ms(), goal_ms));
+        let no_long_pause = (1.0 - exceedance_probability(self.prefill_event_ms, goal_ms))
+            * (1.0 - disturbed * exceedance_probability(self.max_pause_ms(), goal_ms));
         1.0 - no_long_pause
     }
 
--- a/components/policy/src/pace/pause_risk_tests.rs
+++ b/components/policy/src/pace/pause_risk_tests.rs
@@ -16,24 +16,27 @@
 
 #[test]
 fn predicts_long_pauses_only_if_a_prefill_and_a_disturbance_coincide_at_a_slow_engine() {
-    assert!(timing(1.6, 0.5).long_pause(180.0, 4_000.0) > 0.5);
-    assert_eq!(timing(1.6, 0.0).long_pause(180.0, 4_000.0), 0.0);
-    assert_eq!(timing(1.0, 0.5).long_pause(180.0, 4_000.0), 0.0);
-    assert_eq!(timing(0.6, 1.0).long_pause(180.0, 60_000.0), 0.0);
+    assert!(timing(1.6, 0.5).long_pause_probability(180.0, 4_000.0) > 0.5);
+    assert_eq!(timing(1.6, 0.0).long_pause_probability(180.0, 4_000.0), 0.0);
+    assert_eq!(timing(1.0, 0.5).long_pause_probability(180.0, 4_000.0), 0.0);
+    assert_eq!(
+        timing(0.6, 1.0).long_pause_probability(180.0, 60_000.0),
+        0.0
+    );
 }
 
 #[test]
 fn risk_grows_with_the_remaining_time_of_a_stream() {
     let slow = timing(1.6, 0.4);
-    assert!(slow.long_pause(180.0, 100.0) < 0.15);
-    assert!(slow.long_pause(180.0, 8_000.0) > 0.6);
+    assert!(slow.long_pause_probability(180.0, 100.0) < 0.15);
+    assert!(slow.long_pause_probability(180.0, 8_000.0) > 0.6);
 }
 
 #[test]
 fn a_prefill_is_a_risk_for_concurrent_streams_that_are_close_to_their_goal() {
-    assert!(timing(1.6, 0.0).long_pause_during_prefill(180.0, 600.0) > 0.2);
+    assert!(timing(1.6, 0.0).long_pause_probability_during_prefill(180.0, 600.0) > 0.2);
     assert_eq!(
-        timing(0.6, 0.0).long_pause_during_prefill(180.0, 600.0),
+        timing(0.6, 0.0).long_pause_probability_during_prefill(180.0, 600.0),
         0.0
     );
 }
--- a/components/policy/src/pace/steps.rs
+++ b/components/policy/src/pace/steps.rs
@@ -20,7 +20,7 @@
 pub struct Load {
     /// Running streams.
     pub streams: f64,
-    /// Share of the time in which a prompt is prefilled beside them.
+    /// Share of the time in which a prompt is prefilled alongside.
     pub prefill_share: f64,
 }
 
