--- a/components/policy/src/holders.rs
+++ b/components/policy/src/box_permits.rs
@@ -63,24 +63,24 @@
 
     /// Releases the permits and drops the queued requests of boxes that stopped reporting.
     pub fn expire_silent_boxes(&mut self, now_ms: u64) {
-        let is_silent = |heard_ms: &u64| heard_ms + BOX_TIMEOUT_MS < now_ms;
+        let is_silent = |seen_ms: &u64| seen_ms + BOX_TIMEOUT_MS < now_ms;
         let boxes: HashSet<BoxId> = self
             .last_seen_ms
             .iter()
-            .filter(|(_, heard_ms)| is_silent(heard_ms))
+            .filter(|(_, seen_ms)| is_silent(seen_ms))
             .map(|(id, _)| *id)
             .collect();
         if boxes.is_empty() {
             return;
         }
-        let lost = self
+        let orphaned = self
             .streams
             .values()
             .filter(|stream| boxes.contains(&stream.entry_box()));
-        let lost: Vec<(PermitId, u32)> = lost
+        let orphaned: Vec<(PermitId, u32)> = orphaned
             .map(|stream| (stream.permit, stream.generated_tokens))
             .collect();
-        for (permit, tokens) in lost {
+        for (permit, tokens) in orphaned {
             self.release(permit, tokens, StreamEnd::Censored);
         }
         for demand in self
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -3,11 +3,11 @@
 
 mod admission;
 mod balance;
+mod box_permits;
 mod demand;
-mod engines;
+mod engine_updates;
 mod fairness;
 mod health;
-mod holders;
 mod pace;
 mod placement;
 mod pool;
--- a/components/policy/src/placement/forecast.rs
+++ b/components/policy/src/placement/forecast.rs
@@ -14,24 +14,25 @@
 }
 
 impl Forecast {
-    /// Adds a stream that uses `held_tokens` now and survives horizon `h` with probability
+    /// Adds a stream that uses `used_tokens` now and survives horizon `h` with probability
     /// `survival(h)`.
     pub fn add(&mut self, used_tokens: f64, survival: impl Fn(f64) -> f64) {
-        for (at, horizon) in HORIZONS_TOKENS.iter().enumerate() {
+        for (index, horizon) in HORIZONS_TOKENS.iter().enumerate() {
             let horizon = f64::from(*horizon);
-            let alive = survival(horizon).clamp(0.0, 1.0);
+            let probability = survival(horizon).clamp(0.0, 1.0);
             let memory_tokens = used_tokens + horizon;
-            self.mean_tokens[at] += alive * memory_tokens;
-            self.variance[at] += alive * (1.0 - alive) * memory_tokens * memory_tokens;
+            self.mean_tokens[index] += probability * memory_tokens;
+            self.variance[index] +=
+                probability * (1.0 - probability) * memory_tokens * memory_tokens;
         }
     }
 
     /// The sum of two forecasts.
     pub fn combined(&self, other: &Forecast) -> Forecast {
         let mut sum = *self;
-        for at in 0..HORIZONS_TOKENS.len() {
-            sum.mean_tokens[at] += other.mean_tokens[at];
-            sum.variance[at] += other.variance[at];
+        for index in 0..HORIZONS_TOKENS.len() {
+            sum.mean_tokens[index] += other.mean_tokens[index];
+            sum.variance[index] += other.variance[index];
         }
         sum
     }
@@ -43,7 +44,7 @@
 
     /// Memory use at each horizon, `margin` standard deviations above the mean.
     pub fn tokens_at_margin(&self, margin: f64) -> [f64; HORIZONS_TOKENS.len()] {
-        std::array::from_fn(|at| self.mean_tokens[at] + margin * self.variance[at].sqrt())
+        std::array::from_fn(|index| self.mean_tokens[index] + margin * self.variance[index].sqrt())
     }
 
     /// Expected memory use at the first horizon.
--- a/components/policy/src/placement/ledger.rs
+++ b/components/policy/src/placement/ledger.rs
@@ -124,7 +124,7 @@
                 return 0.0;
             }
             match oracle_tokens {
-                Some(told) => f64::from(u8::from(generated + added < f64::from(told))),
+                Some(length) => f64::from(u8::from(generated + added < f64::from(length))),
                 None => survival.probability(added),
             }
         }
@@ -197,6 +197,7 @@
     pub(crate) pace: EnginePace,
     forecast: Forecast,
     forecast_ms: Option<u64>,
+    /// Recorded times and memory use of its streams.
     own_history: VecDeque<(u64, f64)>,
     /// When requests were placed here in the last second.
     placements_ms: VecDeque<u64>,
@@ -283,10 +284,10 @@
         tokens_per_ms: f64,
         now_ms: u64,
     ) -> &Forecast {
-        let fresh = self
+        let is_fresh = self
             .forecast_ms
             .is_some_and(|at| now_ms < at + FORECAST_TTL_MS);
-        if !fresh {
+        if !is_fresh {
             let mut forecast = Forecast::default();
             for stream in self.streams.iter().filter_map(|key| streams.get(*key)) {
                 let generated = extrapolated_tokens(stream, tokens_per_ms, now_ms);
@@ -351,13 +352,13 @@
     /// Applies a report. Returns the number of new preemptions.
     pub fn apply_report(&mut self, report: EngineReport, lag_ms: u64, now_ms: u64) -> u64 {
         let previous = self.report.map(|(previous, _)| previous);
-        let first = previous.is_none();
+        let is_first = previous.is_none();
         self.report = Some((report, now_ms));
         if report.leaving && self.state == EngineState::Live {
             self.state = EngineState::Leaving;
         }
         // A new dispatcher knows nothing but the first report, so it counts in full.
-        let weight = if first { 1.0 } else { FOREIGN_WEIGHT };
+        let weight = if is_first { 1.0 } else { FOREIGN_WEIGHT };
         self.estimate_foreign(&report, weight, lag_ms, now_ms);
         let same_incarnation =
             previous.filter(|previous| previous.incarnation == report.incarnation);
@@ -371,14 +372,14 @@
     /// is free only wait for the next step.
     pub fn has_memory_backlog(&self, now_ms: u64) -> bool {
         self.report.is_some_and(|(report, at_ms)| {
-            let short_of_memory = report.memory_share >= FULL_MEMORY_SHARE;
-            report.waiting > 0 && short_of_memory && now_ms < at_ms + REPORT_TTL_MS
+            let is_full = report.memory_share >= FULL_MEMORY_SHARE;
+            report.waiting > 0 && is_full && now_ms < at_ms + REPORT_TTL_MS
         })
     }
 
     fn estimate_foreign(&mut self, report: &EngineReport, weight: f64, lag_ms: u64, now_ms: u64) {
-        let capacity = self.info.capacity_tokens as f64;
-        let reported = report.memory_share * capacity;
+        let capacity_tokens = self.info.capacity_tokens as f64;
+        let reported_tokens = report.memory_share * capacity_tokens;
         let at_ms = now_ms.saturating_sub(lag_ms);
         let own_tokens = self
             .own_history
@@ -388,12 +389,12 @@
         let own_tokens = own_tokens
             .or(self.own_history.front())
             .map_or(0.0, |sample| sample.1);
-        let mut excess = (reported - own_tokens).max(0.0);
-        if excess < capacity * FOREIGN_NOISE_SHARE {
+        let mut excess = (reported_tokens - own_tokens).max(0.0);
+        if excess < capacity_tokens * FOREIGN_NOISE_SHARE {
             excess = 0.0;
         }
         self.foreign_tokens += weight * (excess - self.foreign_tokens);
-        if self.foreign_tokens < capacity * FOREIGN_NOISE_SHARE {
+        if self.foreign_tokens < capacity_tokens * FOREIGN_NOISE_SHARE {
             // Without this cutoff a decaying estimate would never reach zero, and an empty engine
             // would never count as empty.
             self.foreign_tokens = 0.0;
--- a/components/policy/src/placement/length.rs
+++ b/components/policy/src/placement/length.rs
@@ -69,8 +69,8 @@
 
 /// Prior hazard of a bin and its weight.
 fn prior(bin: usize) -> (f64, f64) {
-    let short = bin_start(bin) < PRIOR_SHORT_TOKENS;
-    let hazard = if short {
+    let is_short = bin_start(bin) < PRIOR_SHORT_TOKENS;
+    let hazard = if is_short {
         PRIOR_SHORT_HAZARD
     } else {
         PRIOR_HAZARD
--- a/components/policy/src/placement/local.rs
+++ b/components/policy/src/placement/local.rs
@@ -30,7 +30,7 @@
     }
 }
 
-struct Waiting {
+struct QueuedRequest {
     permit: PermitId,
     deadline_ms: u64,
     avoid: Avoided,
@@ -38,10 +38,10 @@
 
 /// One box's view of a pool, and the requests waiting under the concurrency limit.
 pub struct LocalPool {
-    kind: PolicyKind,
+    policy: PolicyKind,
     limit: u32,
     targets: Vec<LocalTarget>,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedRequest>,
     next: usize,
     rng: ChaCha8Rng,
 }
@@ -52,9 +52,9 @@
 impl LocalPool {
     /// Creates an empty pool. `limit` is the maximum number of open streams per engine, 0 for no
     /// limit.
-    pub fn new(kind: PolicyKind, limit: u32, seed: u64) -> Self {
+    pub fn new(policy: PolicyKind, limit: u32, seed: u64) -> Self {
         Self {
-            kind,
+            policy,
             limit,
             targets: Vec::new(),
             queue: VecDeque::new(),
@@ -64,8 +64,8 @@
     }
 
     /// Changes the policy and the limit.
-    pub fn set_policy(&mut self, kind: PolicyKind, limit: u32) {
-        self.kind = kind;
+    pub fn set_policy(&mut self, policy: PolicyKind, limit: u32) {
+        self.policy = policy;
         self.limit = limit;
     }
 
@@ -96,7 +96,7 @@
 
     /// Queues a request.
     pub fn submit(&mut self, permit: PermitId, deadline_ms: u64, avoid: Avoided) {
-        self.queue.push_back(Waiting {
+        self.queue.push_back(QueuedRequest {
             permit,
             deadline_ms,
             avoid,
@@ -182,7 +182,7 @@
         if candidates.is_empty() {
             return None;
         }
-        let chosen = match self.kind {
+        let chosen = match self.policy {
             PolicyKind::RoundRobin => {
                 self.next = self.next.wrapping_add(1);
                 candidates[self.next % candidates.len()]
--- a/components/policy/src/placement/prefill.rs
+++ b/components/policy/src/placement/prefill.rs
@@ -139,8 +139,8 @@
         let rate = self.tokens_per_ms(pool);
         let elapsed_ms = now_ms.saturating_sub(self.started_ms) as f64;
         let first_ms = f64::from(first.tokens) / rate;
-        let others = self.pending_tokens() - u64::from(first.tokens);
-        (first_ms - elapsed_ms).abs() + others as f64 / rate
+        let other_tokens = self.pending_tokens() - u64::from(first.tokens);
+        (first_ms - elapsed_ms).abs() + other_tokens as f64 / rate
     }
 }
 
--- a/components/policy/src/placement/prefixes.rs
+++ b/components/policy/src/placement/prefixes.rs
@@ -91,11 +91,11 @@
     }
 
     fn drop_oldest(&mut self) {
-        let mut ages: Vec<u64> = self.hints.values().map(|hint| hint.seen_ms).collect();
-        let middle = ages.len() / 2;
-        let (_, median, _) = ages.select_nth_unstable(middle);
-        let median = *median;
-        self.hints.retain(|_, hint| hint.seen_ms > median);
+        let mut seen_ms: Vec<u64> = self.hints.values().map(|hint| hint.seen_ms).collect();
+        let middle = seen_ms.len() / 2;
+        let (_, median_ms, _) = seen_ms.select_nth_unstable(middle);
+        let median_ms = *median_ms;
+        self.hints.retain(|_, hint| hint.seen_ms > median_ms);
     }
 }
 
--- a/components/policy/src/placement/transfer_slots.rs
+++ b/components/policy/src/placement/transfer_slots.rs
@@ -18,8 +18,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct Link {
+    /// Permit, destination and expiry time of the copy that holds the slot.
     holder: Option<(PermitId, TargetId, u64)>,
-    waiting: HashMap<PermitId, Waiter>,
+    waiters: HashMap<PermitId, Waiter>,
 }
 
 /// The transfer slots of all links that generations leave.
@@ -38,37 +39,37 @@
         now_ms: u64,
     ) -> bool {
         let link = self.0.entry(from).or_default();
-        link.waiting
-            .retain(|_, waiting| waiting.last_asked_ms + WAITER_TTL_MS > now_ms);
+        link.waiters
+            .retain(|_, waiter| waiter.last_asked_ms + WAITER_TTL_MS > now_ms);
         if let Some((holder, _, until_ms)) = link.holder {
             if holder == permit {
                 return true;
             }
             if now_ms < until_ms {
                 let last_asked_ms = now_ms;
-                let waiting = Waiter {
+                let waiter = Waiter {
                     copy_tokens,
                     last_asked_ms,
                 };
-                link.waiting.insert(permit, waiting);
+                link.waiters.insert(permit, waiter);
                 return false;
             }
             link.holder = None;
         }
         let has_smaller = link
-            .waiting
+            .waiters
             .iter()
-            .any(|(other, waiting)| *other != permit && waiting.copy_tokens < copy_tokens);
+            .any(|(other, waiter)| *other != permit && waiter.copy_tokens < copy_tokens);
         if has_smaller {
             let last_asked_ms = now_ms;
-            let waiting = Waiter {
+            let waiter = Waiter {
                 copy_tokens,
                 last_asked_ms,
             };
-            link.waiting.insert(permit, waiting);
+            link.waiters.insert(permit, waiter);
             return false;
         }
-        link.waiting.remove(&permit);
+        link.waiters.remove(&permit);
         true
     }
 
@@ -83,11 +84,11 @@
         let Some(link) = self.0.get_mut(&from) else {
             return;
         };
-        link.waiting.remove(&permit);
+        link.waiters.remove(&permit);
         if link.holder.is_some_and(|(holder, _, _)| holder == permit) {
             link.holder = None;
         }
-        if link.holder.is_none() && link.waiting.is_empty() {
+        if link.holder.is_none() && link.waiters.is_empty() {
             self.0.remove(&from);
         }
     }
--- a/components/policy/src/placement/view.rs
+++ b/components/policy/src/placement/view.rs
@@ -53,7 +53,7 @@
         PoolView {
             waiting: self.queue.len() as u32,
             margin: self.margin,
-            grants_per_s: self.grants.len() as f64 * 1000.0 / GRANT_WINDOW_MS as f64,
+            grants_per_s: self.recent_grants_ms.len() as f64 * 1000.0 / GRANT_WINDOW_MS as f64,
             engines: engines.collect(),
         }
     }
@@ -61,13 +61,13 @@
     fn engine_view(&self, ledger: &EngineLedger, now_ms: u64) -> EngineView {
         let report = ledger.report.map(|(report, _)| report).unwrap_or_default();
         let capacity = ledger.info.capacity_tokens as f64;
-        let own = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
+        let own_tokens = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
         EngineView {
             target: ledger.info.id,
             takes_work: ledger.state == EngineState::Live,
             capacity_tokens: ledger.info.capacity_tokens,
             streams: ledger.streams.len() as u32,
-            ledger_tokens: own as u64,
+            ledger_tokens: own_tokens as u64,
             reported_tokens: (report.memory_share * capacity) as u64,
             foreign_tokens: ledger.foreign_tokens as u64,
             reported_waiting: report.waiting,
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -43,14 +43,16 @@
     pub(crate) tree: FairTree,
     pub(crate) lengths: LengthModel,
     pub(crate) prefixes: PrefixIndex,
+    /// Current safety margin in standard deviations.
     pub(crate) margin: f64,
     margin_decayed_ms: u64,
+    /// Moving average of the pace of a stream.
     pub(crate) tokens_per_ms: f64,
     pub(crate) prefill_rate: PrefillRate,
     pub(crate) pace_book: PaceBook,
     /// The latest time passed in by callers, as the pool reads no clock.
     pub(crate) now_ms: u64,
-    pub(crate) grants: VecDeque<u64>,
+    pub(crate) recent_grants_ms: VecDeque<u64>,
     pub(crate) grant_rate: GrantPace,
     /// The grant rate of each rank.
     pub(crate) rank_grant_rates: [GrantPace; RANK_COUNT],
@@ -59,6 +61,7 @@
     pub(crate) first_request_ms: Option<u64>,
     pub(crate) next_expiry_check_ms: u64,
     own_tokens_recorded_ms: u64,
+    /// When each box last sent a request or a report.
     pub(crate) last_seen_ms: HashMap<BoxId, u64>,
     /// Number of streams with a permit, by box.
     pub(crate) streams_by_box: HashMap<BoxId, usize>,
@@ -86,7 +89,7 @@
             prefill_rate: PrefillRate::default(),
             pace_book: PaceBook::default(),
             now_ms: 0,
-            grants: VecDeque::new(),
+            recent_grants_ms: VecDeque::new(),
             grant_rate: GrantPace::default(),
             rank_grant_rates: [GrantPace::default(); RANK_COUNT],
             first_request_ms: None,
@@ -206,9 +209,9 @@
 
     /// Records for each rank whether requests are queued.
     fn record_queued_ranks(&mut self, now_ms: u64) {
-        let waits = self.queue.ranks();
-        for (pace, waits) in self.rank_grant_rates.iter_mut().zip(waits) {
-            pace.pass(waits, now_ms);
+        let is_queued = self.queue.ranks();
+        for (grant_rate, is_queued) in self.rank_grant_rates.iter_mut().zip(is_queued) {
+            grant_rate.pass(is_queued, now_ms);
         }
     }
 
@@ -231,13 +234,13 @@
     fn grant(&mut self, demand: Demand, target: TargetId, now_ms: u64) {
         self.grant_rate.granted();
         self.rank_grant_rates[usize::from(demand.clamped_rank())].granted();
-        self.grants.push_back(now_ms);
+        self.recent_grants_ms.push_back(now_ms);
         while self
-            .grants
+            .recent_grants_ms
             .front()
             .is_some_and(|at_ms| at_ms + GRANT_WINDOW_MS < now_ms)
         {
-            self.grants.pop_front();
+            self.recent_grants_ms.pop_front();
         }
         self.tree.runs(&demand.share);
         self.tree.leaves(&demand.share);
@@ -331,13 +334,13 @@
 ) -> Forecast {
     let oracle_tokens = oracle_tokens(demand, policy);
     let mut forecast = Forecast::default();
-    forecast.add(f64::from(demand.prompt_tokens), |more| {
-        if more >= f64::from(demand.max_tokens) {
+    forecast.add(f64::from(demand.prompt_tokens), |added| {
+        if added >= f64::from(demand.max_tokens) {
             return 0.0;
         }
         match oracle_tokens {
-            Some(oracle_tokens) => f64::from(u8::from(more < f64::from(oracle_tokens))),
-            None => lengths.survival(demand.class, 0.0, more),
+            Some(oracle_tokens) => f64::from(u8::from(added < f64::from(oracle_tokens))),
+            None => lengths.survival(demand.class, 0.0, added),
         }
     });
     forecast
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
+use crate::box_permits::BOX_TIMEOUT_MS;
 use crate::demand::RunningStream;
 use crate::fairness::tree::Share;
-use crate::holders::BOX_TIMEOUT_MS;
 use crate::placement::ledger::{EngineInfo, EngineReport, EngineState};
 use crate::placement::length::LengthClass;
 use prelude::{
@@ -188,8 +188,9 @@
         ));
         pool.schedule(now_ms);
         if serial % 5 == 4 {
-            let held: Vec<PermitId> = pool.by_permit.keys().copied().collect();
-            held.into_iter()
+            let permits: Vec<PermitId> = pool.by_permit.keys().copied().collect();
+            permits
+                .into_iter()
                 .for_each(|permit| pool.release(permit, 5, StreamEnd::Finished));
         }
     }
