--- a/components/policy/src/fairness/recent_usage_tests.rs
+++ b/components/policy/src/fairness/recent_usage_tests.rs
@@ -39,7 +39,7 @@
         max_tokens: 500,
         rank: 0,
         pause_goal_ms: None,
-        arrived_ms: arrived_ms,
+        arrived_ms,
         deadline_ms: u64::MAX,
         caller_deadline_ms: u64::MAX,
         prefix: None,
