--- a/components/policy/src/admission/test_demands.rs
+++ b/components/policy/src/admission/test_demands.rs
@@ -1,11 +1,11 @@
-//! Requests for tests of this folder.
+//! Requests for the tests of this module.
 
 use crate::demand::Demand;
 use crate::fairness::tree::Share;
 use crate::placement::length::LengthClass;
 use prelude::{AccountId, Avoided, BoxId, OwnerId, PartnerId, PermitId};
 
-/// A request of 1,000 prompt tokens, due after 5 s.
+/// Returns a request with 1,000 prompt tokens that is due at 5 s.
 pub(crate) fn demand(serial: u64, account: u64, rank: u8) -> Demand {
     Demand {
         permit: PermitId {
@@ -26,12 +26,12 @@
         max_tokens: 100,
         rank,
         pause_goal_ms: None,
-        since_ms: serial,
+        arrived_ms: serial,
         deadline_ms: 5_000,
-        leaves_ms: 10_000,
+        caller_deadline_ms: 10_000,
         prefix: None,
-        told_tokens: None,
+        oracle_tokens: None,
         avoid: Avoided::default(),
-        near: None,
+        preferred_data_centre: None,
     }
 }
--- a/components/policy/src/fairness/usage.rs
+++ b/components/policy/src/fairness/usage.rs
@@ -1,4 +1,4 @@
-//! Who is served, who waits and who is refused, by account and rank, as operators see it.
+//! Grants, waiting requests and refusals by account and rank, for operators.
 
 use crate::demand::Demand;
 use crate::fairness::tree::Share;
@@ -7,75 +7,77 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Accounts and ranks that are counted apart; what comes beyond is counted under the account 0.
-const ROWS_MAX: usize = 1_024;
+/// Maximum number of pairs of account and rank counted separately; requests of further ones count
+/// under account 0.
+const MAX_ROWS: usize = 1_024;
 
-/// What became of the requests of one account and rank, since the dispatcher began.
+/// Outcomes of the requests of one account and rank since the dispatcher started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RankUse {
-    /// Requests that were granted.
+pub struct RankCounts {
+    /// Granted requests.
     pub granted: u64,
-    /// Requests that were refused.
+    /// Refused requests.
     pub refused: u64,
     /// Requests that wait now.
     pub waiting: u64,
 }
 
-/// Counts by account and rank.
+/// Outcomes by account and rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Usage {
-    rows: HashMap<(AccountId, u8), RankUse>,
+    rows: HashMap<(AccountId, u8), RankCounts>,
 }
 
 impl Usage {
-    pub fn granted(&mut self, demand: &Demand) {
+    pub fn record_grant(&mut self, demand: &Demand) {
         self.row(demand).granted += 1;
     }
 
-    pub fn refused(&mut self, demand: &Demand) {
+    pub fn record_refusal(&mut self, demand: &Demand) {
         self.row(demand).refused += 1;
     }
 
-    fn row(&mut self, demand: &Demand) -> &mut RankUse {
+    fn row(&mut self, demand: &Demand) -> &mut RankCounts {
         let mut key = (demand.share.account, demand.rank);
-        if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key) {
+        if self.rows.len() >= MAX_ROWS && !self.rows.contains_key(&key) {
             key = (AccountId::default(), demand.rank);
         }
         self.rows.entry(key).or_default()
     }
 }
 
-/// One account as a dispatcher sees it.
+/// Usage of one account at a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AccountUse {
+pub struct AccountUsage {
     /// The account.
     pub account: AccountId,
-    /// What became of its requests, by rank.
-    pub ranks: BTreeMap<u8, RankUse>,
-    /// The part of the memory in use that it holds.
+    /// Outcomes of its requests by rank.
+    pub ranks: BTreeMap<u8, RankCounts>,
+    /// Fraction of the memory in use.
     pub held_part: f64,
-    /// The part that it is entitled to among those that wait or run.
+    /// Fraction of the pool that it is entitled to among accounts with waiting or running requests.
     pub entitled_part: f64,
-    /// What it used beyond the least served that waits, as time of its fair share; below zero where it is owed.
-    pub lent_ms: f64,
-    /// The share of the pool's memory that it may hold; none where it has no cap.
+    /// Service received beyond the least served waiting account, in milliseconds of its fair share;
+    /// negative if it received less.
+    pub excess_ms: f64,
+    /// Maximum share of the pool's memory; `None` without a cap.
     pub cap_share: Option<f64>,
 }
 
 impl Pool {
-    /// Who stands before a request that is refused, and how its account stands.
+    /// Returns the number of requests served before a refused one, and the usage of its account.
     pub fn standing(&self, demand: &Demand) -> Standing {
         let mut standing = Standing {
             waiting: self.queue.len() as u32,
             held_permille: (self.tree.held_part(&demand.share) * 1_000.0) as u16,
             entitled_permille: (self.tree.entitled_part(&demand.share) * 1_000.0) as u16,
-            lent_ms: self.tree.lent_ms(&demand.share) as i32,
-            floods: self.tree.floods(&demand.share),
+            lent_ms: self.tree.excess_ms(&demand.share) as i32,
+            floods: self.tree.is_flooding(&demand.share),
             ..Standing::default()
         };
-        let begins_by_ms = self.waits_until_ms(demand);
-        let before = self.queue.requests_before(demand, begins_by_ms, &self.tree);
-        for other in before {
+        let start_by_ms = self.start_by_ms(demand);
+        let ahead = self.queue.requests_ahead(demand, start_by_ms, &self.tree);
+        for other in ahead {
             let count = match (other.rank < demand.rank, other.share.account) {
                 (true, _) => &mut standing.more_urgent,
                 (false, account) if account == demand.share.account => &mut standing.own,
@@ -86,9 +88,9 @@
         standing
     }
 
-    /// The accounts that it served or refused, or that wait, those that hold most first.
-    pub fn accounts(&self) -> Vec<AccountUse> {
-        let mut ranks: HashMap<AccountId, BTreeMap<u8, RankUse>> = HashMap::new();
+    /// Returns the accounts that had requests, by descending memory in use.
+    pub fn accounts(&self) -> Vec<AccountUsage> {
+        let mut ranks: HashMap<AccountId, BTreeMap<u8, RankCounts>> = HashMap::new();
         for ((account, rank), row) in &self.usage.rows {
             ranks.entry(*account).or_default().insert(*rank, *row);
         }
@@ -101,18 +103,18 @@
             .shares()
             .map(|share| (share.account, share))
             .collect();
-        let of = |(account, ranks): (AccountId, BTreeMap<u8, RankUse>)| {
+        let usage_of = |(account, ranks): (AccountId, BTreeMap<u8, RankCounts>)| {
             let share = shares.get(&account);
-            AccountUse {
+            AccountUsage {
                 account,
                 ranks,
                 held_part: share.map_or(0.0, |share| self.tree.held_part(share)),
                 entitled_part: share.map_or(0.0, |share| self.tree.entitled_part(share)),
-                lent_ms: share.map_or(0.0, |share| self.tree.lent_ms(share)),
+                excess_ms: share.map_or(0.0, |share| self.tree.excess_ms(share)),
                 cap_share: self.tree.cap_of(account),
             }
         };
-        let mut accounts: Vec<AccountUse> = ranks.into_iter().map(of).collect();
+        let mut accounts: Vec<AccountUsage> = ranks.into_iter().map(usage_of).collect();
         accounts.sort_by(|one, other| {
             let by_part = other.held_part.total_cmp(&one.held_part);
             by_part.then(one.account.cmp(&other.account))
--- a/components/policy/src/placement/local_tests.rs
+++ b/components/policy/src/placement/local_tests.rs
@@ -18,23 +18,23 @@
         };
         pool.submit(permit, 1000, Avoided::default());
     }
-    pool.run(0).len()
+    pool.schedule(0).len()
 }
 
 #[rstest]
 #[case(PolicyKind::RoundRobin)]
 #[case(PolicyKind::LeastLoad)]
 #[case(PolicyKind::TwoChoices)]
-fn keeps_its_limit(#[case] kind: PolicyKind) {
+fn respects_the_concurrency_limit(#[case] kind: PolicyKind) {
     let mut pool = pool(kind, 2);
     assert_eq!(submit(&mut pool, 10), 6);
     pool.closed(TargetId(1));
-    pool.report(TargetId(1), 1, 0);
-    assert_eq!(pool.run(1).len(), 1);
+    pool.apply_report(TargetId(1), 1, 0);
+    assert_eq!(pool.schedule(1).len(), 1);
 }
 
 #[test]
-fn refuses_where_no_engine_is_live() {
+fn refuses_when_no_engine_is_live() {
     let mut pool = pool(PolicyKind::TwoChoices, 0);
     pool.set_targets(&[(TargetId(1), EngineState::Leaving)]);
     submit(&mut pool, 1);
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn turns_in_round_robin() {
+fn round_robin_spreads_streams_evenly() {
     let mut pool = pool(PolicyKind::RoundRobin, 0);
     submit(&mut pool, 9);
-    assert!(pool.targets().iter().all(|target| target.own_open == 3));
+    assert!(pool.targets().iter().all(|target| target.open_streams == 3));
 }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -1,73 +1,77 @@
-//! The dispatcher of one pool: who goes first, where, and who must be refused. It is soft state. When
-//! it is wrong, or when two boxes each believe that they dispatch, an engine preempts; nothing is lost
-//! or doubled.
+//! The dispatcher of one pool: it orders queued requests, places them on engines and refuses those
+//! that cannot be served in time. Its state is soft: if it is wrong, or if two boxes both dispatch,
+//! an engine preempts requests, but none is lost or duplicated.
 
-use crate::admission::grant_pace::GrantPace;
-use crate::admission::outlook::{Need, Outlook};
+use crate::admission::forecast::{AdmissionForecast, MemoryNeed};
+use crate::admission::grant_rate::GrantRate;
 use crate::admission::queue::Queue;
-use crate::demand::{Demand, RANKS, Submitted, Verdict};
-use crate::fairness::told::KnownBoxes;
+use crate::demand::{Demand, RANK_COUNT, SubmitOutcome, Verdict};
+use crate::fairness::recent_usage::ObservedBoxes;
 use crate::fairness::tree::FairTree;
 use crate::fairness::usage::Usage;
-use crate::kind::{PolicyKind, PoolSettings};
-use crate::pace::book::PaceBook;
+use crate::pace::model::PaceModel;
 use crate::placement::engine_set::EngineSet;
 use crate::placement::forecast::Forecast;
 use crate::placement::ledger::{EngineLedger, Stream, StreamKey, Streams};
-use crate::placement::length::{End, LengthModel};
+use crate::placement::length::{LengthModel, StreamEnd};
+use crate::placement::prefill::PrefillRate;
 use crate::placement::prefixes::PrefixIndex;
-use crate::placement::reading::ReadingRate;
+use crate::settings::{PolicyKind, PoolSettings};
 use prelude::{BoxId, PermitId, TargetId};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Candidates that are tried in one run when the first does not fit.
-const CANDIDATES: usize = 6;
+/// Queues that one scheduling pass tries while requests do not fit.
+const QUEUES_TRIED_MAX: usize = 6;
 /// Window over which grants are counted.
 pub(crate) const GRANT_WINDOW_MS: u64 = 5000;
-/// How often the ledgers note their memory in use, to be compared with engines' reports.
-const REMEMBER_MS: u64 = 25;
-/// Pace of a stream before any was measured, in tokens per millisecond.
-const PACE_INITIAL: f64 = 0.03;
+/// How often each ledger records its memory use, to be compared with delayed engine reports.
+const OWN_TOKENS_INTERVAL_MS: u64 = 25;
+/// Initial pace of a stream, in tokens per millisecond.
+const PACE_INITIAL_TOKENS_PER_MS: f64 = 0.03;
 
 /// The dispatcher's state for one pool.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub(crate) settings: PoolSettings,
     pub(crate) engines: EngineSet,
-    /// Engines that name a rate limit.
+    /// Engines that announce a rate limit.
     pub(crate) rate_limited: HashSet<TargetId>,
     pub(crate) streams: Streams,
     pub(crate) by_permit: HashMap<PermitId, StreamKey>,
     pub(crate) queue: Queue,
-    pub(crate) outlook: Outlook,
+    pub(crate) admission_forecast: AdmissionForecast,
     pub(crate) tree: FairTree,
     pub(crate) lengths: LengthModel,
     pub(crate) prefixes: PrefixIndex,
+    /// Current safety margin in standard deviations.
     pub(crate) margin: f64,
-    margin_ms: u64,
+    margin_decayed_ms: u64,
+    /// Moving average of the pace of a stream.
     pub(crate) tokens_per_ms: f64,
-    pub(crate) reading_rate: ReadingRate,
-    pub(crate) pace_book: PaceBook,
-    /// The latest time that it was given: it reads no clock.
+    pub(crate) prefill_rate: PrefillRate,
+    pub(crate) pace_model: PaceModel,
+    /// The latest time passed in by callers, as the pool reads no clock.
     pub(crate) now_ms: u64,
-    pub(crate) grants: VecDeque<u64>,
-    pub(crate) pace: GrantPace,
-    /// The pace of grants by rank.
-    pub(crate) paces: [GrantPace; RANKS],
-    /// When the first request came; grants wait for engines' reports from then on, but not for ever.
-    pub(crate) began_ms: Option<u64>,
-    pub(crate) expiry_ms: u64,
-    remembered_ms: u64,
-    pub(crate) heard_ms: HashMap<BoxId, u64>,
-    /// Streams of each box that hold a permit.
+    pub(crate) recent_grants_ms: VecDeque<u64>,
+    pub(crate) grant_rate: GrantRate,
+    /// The grant rate of each rank.
+    pub(crate) rank_grant_rates: [GrantRate; RANK_COUNT],
+    /// When the first request arrived. Grants wait for the engines' first reports for a limited
+    /// time after it.
+    pub(crate) first_request_ms: Option<u64>,
+    pub(crate) next_expiry_check_ms: u64,
+    own_tokens_recorded_ms: u64,
+    /// When each box last sent a request or a report.
+    pub(crate) last_seen_ms: HashMap<BoxId, u64>,
+    /// Number of streams with a permit, by box.
     pub(crate) streams_by_box: HashMap<BoxId, usize>,
-    /// The boxes whose recent use it charged itself, and since when.
-    pub(crate) known: KnownBoxes,
+    /// The boxes whose recent usage this dispatcher charged itself, and since when.
+    pub(crate) observed_boxes: ObservedBoxes,
     pub(crate) usage: Usage,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             margin: settings.margin_initial,
@@ -76,117 +80,127 @@
             streams: Streams::with_key(),
             by_permit: HashMap::new(),
             queue: Queue::default(),
-            tree: fair_tree(&settings),
-            outlook: Outlook::default(),
+            tree: new_fair_tree(&settings),
+            admission_forecast: AdmissionForecast::default(),
             lengths: LengthModel::default(),
             prefixes: PrefixIndex::default(),
-            margin_ms: 0,
-            tokens_per_ms: PACE_INITIAL,
-            reading_rate: ReadingRate::default(),
-            pace_book: PaceBook::default(),
+            margin_decayed_ms: 0,
+            tokens_per_ms: PACE_INITIAL_TOKENS_PER_MS,
+            prefill_rate: PrefillRate::default(),
+            pace_model: PaceModel::default(),
             now_ms: 0,
-            grants: VecDeque::new(),
-            pace: GrantPace::default(),
-            paces: [GrantPace::default(); RANKS],
-            began_ms: None,
-            expiry_ms: 0,
-            remembered_ms: 0,
-            heard_ms: HashMap::new(),
+            recent_grants_ms: VecDeque::new(),
+            grant_rate: GrantRate::default(),
+            rank_grant_rates: [GrantRate::default(); RANK_COUNT],
+            first_request_ms: None,
+            next_expiry_check_ms: 0,
+            own_tokens_recorded_ms: 0,
+            last_seen_ms: HashMap::new(),
             streams_by_box: HashMap::new(),
-            known: KnownBoxes::default(),
+            observed_boxes: ObservedBoxes::default(),
             usage: Usage::default(),
             settings,
         }
     }
 
-    /// Takes a request in, or refuses it at once where its wait would pass its deadline.
-    pub fn submit(&mut self, demand: Demand, now_ms: u64) -> Submitted {
-        self.take_in(demand, false, now_ms)
+    /// Queues a request, or refuses it if it would wait beyond its deadline.
+    pub fn submit(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
+        self.enqueue(demand, false, now_ms)
     }
 
-    /// Takes a request in that was let wait before, by another dispatcher or until its permit found nobody: it is not judged
-    /// anew by one that knows less of lengths and pace. It waits until it is granted, or until its time is over.
-    pub fn submit_again(&mut self, demand: Demand, now_ms: u64) -> Submitted {
-        self.take_in(demand, true, now_ms)
+    /// Queues a request that was queued before, at another dispatcher or until its grant did not
+    /// reach its box. It is not refused now, as this dispatcher may know less about answer lengths
+    /// and the grant rate: it waits until it is granted or expires.
+    pub fn resubmit(&mut self, demand: Demand, now_ms: u64) -> SubmitOutcome {
+        self.enqueue(demand, true, now_ms)
     }
 
-    fn take_in(&mut self, mut demand: Demand, was_let_wait: bool, now_ms: u64) -> Submitted {
+    fn enqueue(
+        &mut self,
+        mut demand: Demand,
+        was_queued_before: bool,
+        now_ms: u64,
+    ) -> SubmitOutcome {
         self.now_ms = self.now_ms.max(now_ms);
-        self.heard_ms.insert(demand.permit.entry, now_ms);
-        self.known.heard(demand.permit.entry, now_ms);
-        self.tree.pass(now_ms);
+        self.last_seen_ms.insert(demand.permit.entry, now_ms);
+        self.observed_boxes
+            .record_contact(demand.permit.entry, now_ms);
+        self.tree.advance(now_ms);
         if self.by_permit.contains_key(&demand.permit) || self.queue.contains(demand.permit) {
-            return Submitted::Waits { place: 0 };
+            return SubmitOutcome::Queued { position: 0 };
         }
         if !self.settings.ranks {
             demand.rank = demand.rank.min(1);
         }
-        self.tree.asks(&demand.share, demand.prompt_tokens);
+        self.tree
+            .record_arrival(&demand.share, demand.prompt_tokens);
         let forecast = demand_forecast(&self.lengths, &demand, self.settings.policy);
-        let need = Need::of(&forecast);
+        let need = MemoryNeed::of(&forecast);
         let refusal = self.refusal(&demand, &need, now_ms);
-        if let Some(refusal) = refusal.filter(|_| !was_let_wait) {
-            if !self.tree.floods(&demand.share) {
-                self.tree.others_wait(now_ms);
+        if let Some(refusal) = refusal.filter(|_| !was_queued_before) {
+            if !self.tree.is_flooding(&demand.share) {
+                self.tree.record_non_flooding_wait(now_ms);
             }
-            self.usage.refused(&demand);
-            return Submitted::Refused(refusal);
+            self.usage.record_refusal(&demand);
+            return SubmitOutcome::Refused(refusal);
         }
-        let place = self.queue.len() as u32;
-        // Before it counts as waiting: the time before it came says nothing of the pace.
-        self.pass(now_ms);
-        self.tree.waits(&demand.share);
-        let begins_by_ms = self.waits_until_ms(&demand);
+        let position = self.queue.len() as u32;
+        // Records the time before this arrival first: without a queue it says nothing about the
+        // grant rate.
+        self.record_queued_ranks(now_ms);
+        self.tree.add_waiting(&demand.share);
+        let begins_by_ms = self.start_by_ms(&demand);
         self.queue.push(demand, begins_by_ms, need);
-        Submitted::Waits { place }
+        SubmitOutcome::Queued { position }
     }
 
-    /// Takes back a request that waits, or releases its permit where it was granted meanwhile.
+    /// Removes a queued request, or releases its permit if it was granted meanwhile.
     pub fn withdraw(&mut self, permit: PermitId) {
         if let Some(demand) = self.queue.remove(permit) {
-            self.outlook.errors.left(permit);
-            self.tree.leaves(&demand.share);
+            self.admission_forecast.errors.forget(permit);
+            self.tree.remove_waiting(&demand.share);
         } else {
-            self.release(permit, 0, End::Censored);
+            self.release(permit, 0, StreamEnd::Censored);
         }
     }
 
-    /// Grants what fits and refuses what waited too long.
-    pub fn run(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
+    /// Grants the requests that fit and refuses those that waited too long.
+    pub fn schedule(&mut self, now_ms: u64) -> Vec<(PermitId, Verdict)> {
         self.now_ms = self.now_ms.max(now_ms);
-        self.tree.pass(now_ms);
-        self.pace.pass(self.queue.len() > 0, now_ms);
-        self.pass(now_ms);
+        self.tree.advance(now_ms);
+        self.grant_rate.advance(self.queue.len() > 0, now_ms);
+        self.record_queued_ranks(now_ms);
         let mut verdicts = self.expire(now_ms);
-        self.keep_past(now_ms);
+        self.record_own_tokens(now_ms);
         self.decay_margin(now_ms);
-        if self.queue.others_wait(&self.tree, now_ms) {
-            self.tree.others_wait(now_ms);
+        if self.queue.has_long_non_flooding_wait(&self.tree, now_ms) {
+            self.tree.record_non_flooding_wait(now_ms);
         }
-        let mut passed = HashSet::new();
-        let mut waits = None;
+        let mut skipped = HashSet::new();
+        let mut blocked = None;
         let mut reserved = Vec::new();
-        while passed.len() < CANDIDATES {
-            let Some(place) = self.queue.next(&self.tree, &passed, now_ms) else {
+        while skipped.len() < QUEUES_TRIED_MAX {
+            let Some(queue_key) = self.queue.next(&self.tree, &skipped, now_ms) else {
                 break;
             };
-            let gives_way = self.settings.protection && self.queue.gives_way(place, waits, now_ms);
-            if gives_way || !self.leaves_reading(place, now_ms) {
-                // Accounts that flood come last, so that all that follow flood as well.
-                if self.outweighs_others(place) {
+            let yields =
+                self.settings.protection && self.queue.yields_to(queue_key, blocked, now_ms);
+            if yields || !self.leaves_prefill_reserve(queue_key, now_ms) {
+                // Accounts that flood sort last, so all remaining queues belong to them as well.
+                if self.has_dominant_demand(queue_key) {
                     break;
                 }
-                passed.insert(place);
+                skipped.insert(queue_key);
                 continue;
             }
-            let choice = self.choose(place, now_ms, &reserved);
-            let Some(target) = choice.fits else {
-                self.reserve(place, &choice.nearest, &mut reserved, now_ms);
-                waits.get_or_insert(place);
-                passed.insert(place);
+            let choice = self.choose_engine(queue_key, now_ms, &reserved);
+            let Some(target) = choice.best_engine else {
+                self.reserve_engines(queue_key, &choice.nearest, &mut reserved, now_ms);
+                blocked.get_or_insert(queue_key);
+                skipped.insert(queue_key);
                 continue;
             };
-            let Some(demand) = self.queue.pop(place, now_ms) else {
+            let Some(demand) = self.queue.pop(queue_key, now_ms) else {
                 break;
             };
             verdicts.push((demand.permit, Verdict::Granted { target }));
@@ -195,11 +209,11 @@
         verdicts
     }
 
-    /// Notes whether requests of each rank wait.
-    fn pass(&mut self, now_ms: u64) {
-        let waits = self.queue.ranks();
-        for (pace, waits) in self.paces.iter_mut().zip(waits) {
-            pace.pass(waits, now_ms);
+    /// Records for each rank whether requests are queued.
+    fn record_queued_ranks(&mut self, now_ms: u64) {
+        let is_queued = self.queue.ranks();
+        for (grant_rate, is_queued) in self.rank_grant_rates.iter_mut().zip(is_queued) {
+            grant_rate.advance(is_queued, now_ms);
         }
     }
 
@@ -207,9 +221,9 @@
         self.engines.get_mut(target)
     }
 
-    /// How many engines were looked at since the pool began, each time counted: what decisions cost grows with it.
-    pub fn engines_looked_at(&self) -> u64 {
-        self.engines.looks()
+    /// Number of engine lookups since the pool was created, a measure of the cost of its decisions.
+    pub fn engines_checked(&self) -> u64 {
+        self.engines.checks()
     }
 
     pub(crate) fn margin_in_use(&self) -> f64 {
@@ -220,31 +234,31 @@
     }
 
     fn grant(&mut self, demand: Demand, target: TargetId, now_ms: u64) {
-        self.pace.granted();
-        self.paces[usize::from(demand.rank_in_use())].granted();
-        self.grants.push_back(now_ms);
+        self.grant_rate.record_grant();
+        self.rank_grant_rates[usize::from(demand.clamped_rank())].record_grant();
+        self.recent_grants_ms.push_back(now_ms);
         while self
-            .grants
+            .recent_grants_ms
             .front()
             .is_some_and(|at_ms| at_ms + GRANT_WINDOW_MS < now_ms)
         {
-            self.grants.pop_front();
+            self.recent_grants_ms.pop_front();
         }
-        self.tree.runs(&demand.share);
-        self.tree.leaves(&demand.share);
-        self.usage.granted(&demand);
-        let read_ms = f64::from(demand.prompt_tokens) / self.reading_rate.tokens_per_ms();
-        self.tree.charge(&demand.share, read_ms);
+        self.tree.add_running(&demand.share);
+        self.tree.remove_waiting(&demand.share);
+        self.usage.record_grant(&demand);
+        let prefill_ms = f64::from(demand.prompt_tokens) / self.prefill_rate.tokens_per_ms();
+        self.tree.charge(&demand.share, prefill_ms);
         if let Some((prefix, _)) = demand.prefix {
-            self.prefixes.note(target, prefix, now_ms);
+            self.prefixes.record_prompt(target, prefix, now_ms);
         }
         if let Some(ledger) = self.engine_mut(target) {
-            ledger.placed(now_ms);
+            ledger.record_placement(now_ms);
         }
-        self.place(demand, target, 0, now_ms);
+        self.place_stream(demand, target, 0, now_ms);
     }
 
-    pub(crate) fn place(
+    pub(crate) fn place_stream(
         &mut self,
         demand: Demand,
         target: TargetId,
@@ -261,56 +275,58 @@
             generated_tokens,
             progress_ms: now_ms,
             max_tokens: demand.max_tokens,
-            told_tokens: told(&demand, self.settings.policy),
+            oracle_tokens: oracle_tokens(&demand, self.settings.policy),
             pause_goal_ms: demand.pause_goal_ms,
-            longest_ms: 0,
+            longest_pause_ms: 0,
             expected_tokens: self.expected_tokens(&demand) as f32,
-            foretold_ms: self.foretold_ms(&demand, target, now_ms),
+            predicted_pause_ms: self.predicted_pause_ms(&demand, target, now_ms),
         };
         let (permit, prompt_tokens) = (stream.permit, stream.prompt_tokens);
-        let held_tokens = f64::from(prompt_tokens + generated_tokens);
-        self.tree.holds(&stream.share, held_tokens);
-        self.outlook.room.placed(&forecast);
+        let used_tokens = f64::from(prompt_tokens + generated_tokens);
+        self.tree.adjust_tokens_in_use(&stream.share, used_tokens);
+        self.admission_forecast.memory.record_placement(&forecast);
         *self.streams_by_box.entry(permit.entry).or_default() += 1;
         let key = self.streams.insert(stream);
         self.by_permit.insert(permit, key);
         let placed = self.engines.add_stream(target, key, &forecast, now_ms);
         if let Some(ledger) = placed.filter(|_| generated_tokens == 0) {
-            ledger.reading.sent(key, prompt_tokens, now_ms);
-            ledger.spans.reads(true, now_ms);
+            ledger.prefill.push(key, prompt_tokens, now_ms);
+            ledger.prefill_spans.set_prefilling(true, now_ms);
         }
     }
 
-    fn keep_past(&mut self, now_ms: u64) {
-        if now_ms < self.remembered_ms + REMEMBER_MS {
+    fn record_own_tokens(&mut self, now_ms: u64) {
+        if now_ms < self.own_tokens_recorded_ms + OWN_TOKENS_INTERVAL_MS {
             return;
         }
-        self.remembered_ms = now_ms;
-        // An engine that runs nothing has noted that it holds nothing.
+        self.own_tokens_recorded_ms = now_ms;
+        // Idle engines have already recorded that they use no memory.
         for slot in self.engines.busy() {
-            if let Some(ledger) = self.engines.at_mut(slot) {
-                let own = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
-                ledger.remember(own, now_ms);
+            if let Some(ledger) = self.engines.slot_mut(slot) {
+                let own_tokens = ledger.own_tokens(&self.streams, self.tokens_per_ms, now_ms);
+                ledger.record_own_tokens(own_tokens, now_ms);
             }
         }
     }
 
     fn decay_margin(&mut self, now_ms: u64) {
-        let elapsed_s = now_ms.saturating_sub(self.margin_ms) as f64 / 1000.0;
-        self.margin_ms = now_ms;
-        let less = self.settings.margin_decay_per_s * elapsed_s;
-        self.margin = (self.margin - less).max(self.settings.margin_min);
+        let elapsed_s = now_ms.saturating_sub(self.margin_decayed_ms) as f64 / 1000.0;
+        self.margin_decayed_ms = now_ms;
+        let decrease = self.settings.margin_decay_per_s * elapsed_s;
+        self.margin = (self.margin - decrease).max(self.settings.margin_min);
     }
 }
 
-fn fair_tree(settings: &PoolSettings) -> FairTree {
+fn new_fair_tree(settings: &PoolSettings) -> FairTree {
     let mut tree = FairTree::default();
-    tree.set_orders(settings.fair);
+    tree.set_enabled(settings.fair);
     tree
 }
 
-fn told(demand: &Demand, policy: PolicyKind) -> Option<u32> {
-    demand.told_tokens.filter(|_| policy == PolicyKind::Oracle)
+fn oracle_tokens(demand: &Demand, policy: PolicyKind) -> Option<u32> {
+    demand
+        .oracle_tokens
+        .filter(|_| policy == PolicyKind::Oracle)
 }
 
 pub(crate) fn demand_forecast(
@@ -318,15 +334,15 @@
     demand: &Demand,
     policy: PolicyKind,
 ) -> Forecast {
-    let told = told(demand, policy);
+    let oracle_tokens = oracle_tokens(demand, policy);
     let mut forecast = Forecast::default();
-    forecast.add(f64::from(demand.prompt_tokens), |more| {
-        if more >= f64::from(demand.max_tokens) {
+    forecast.add(f64::from(demand.prompt_tokens), |added| {
+        if added >= f64::from(demand.max_tokens) {
             return 0.0;
         }
-        match told {
-            Some(told) => f64::from(u8::from(more < f64::from(told))),
-            None => lengths.survival(demand.class, 0.0, more),
+        match oracle_tokens {
+            Some(oracle_tokens) => f64::from(u8::from(added < f64::from(oracle_tokens))),
+            None => lengths.survival(demand.class, 0.0, added),
         }
     });
     forecast
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -3,7 +3,7 @@
 use crate::state::{Declared, Relay, pool_of};
 use crate::watch::targets::{Target, TargetBook};
 use peers::EngineFault;
-use policy::{EngineInfo, EngineState, Pool, TAKEN_OVER_MS, TAKEN_OVER_SHARE};
+use policy::{EngineInfo, EngineState, FAILOVER_MS, FAILOVER_SHARE, Pool};
 use prelude::{PoolId, TargetId};
 use routing::Service;
 use settings::Mechanism;
@@ -43,7 +43,7 @@
             data_centre: target.data_centre,
             cold_rate_per_s: self.service.cold_rate_per_s.filter(|_| is_cold),
         };
-        let doubted = target.suspicion.is_passed_over(now_ms)
+        let doubted = target.suspicion.is_ejected(now_ms)
             || (self.trials_count && target.trial.is_on(now_ms));
         let state = match targets.takes_work(target) && !doubted {
             true => EngineState::Live,
@@ -60,9 +60,9 @@
     fn rate_per_s(&self, target: &Target, now_ms: u64) -> Option<f64> {
         let limit = &target.rate_limit;
         let granted_before = limit.limited_since_ms < self.began_ms;
-        let takes_over = granted_before && now_ms < self.began_ms + TAKEN_OVER_MS;
+        let takes_over = granted_before && now_ms < self.began_ms + FAILOVER_MS;
         let part = match takes_over {
-            true => TAKEN_OVER_SHARE,
+            true => FAILOVER_SHARE,
             false => 1.0,
         };
         let rate_per_s = limit.announced.rate_per_s(now_ms)?;
@@ -113,7 +113,7 @@
                         let engine = service.engine(&targets, target, now_ms);
                         engine.set_in(&mut dispatcher.pool, now_ms);
                     }
-                    None => dispatcher.pool.drop_engine(*id),
+                    None => dispatcher.pool.remove_engine(*id),
                 }
             }
             dispatcher.decide(now_ms);
@@ -185,7 +185,7 @@
         let mut targets = self.targets.borrow_mut();
         let slot = target.and_then(|target| targets.slot_of(target));
         if let Some(target) = slot.and_then(|slot| targets.get_mut(slot)) {
-            target.trial.made_event(is_first, now_ms);
+            target.trial.record_event(is_first, now_ms);
         }
     }
 }
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -24,7 +24,7 @@
             self.keys.set(&now.peer_keys);
         }
         if before.store.address != now.store.address {
-            self.store.move_to(now.store.address);
+            self.store.set_address(now.store.address);
             self.store_doubted.notify_waiters();
         }
         if before.limits != now.limits {
@@ -39,7 +39,7 @@
             let mut windows = self.resends.borrow_mut();
             windows
                 .values_mut()
-                .for_each(|window| window.set_bound(bound));
+                .for_each(|window| window.set_limit(bound));
         }
         if before.without != now.without || before.accounts != now.accounts {
             let mut dispatchers = self.dispatchers.borrow_mut();
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.era_seen.set(Some(era));
-        self.store.heard_era(era);
+        self.store.observe_era(era);
         metrics::gauge!("shuntpier_store_era").set(f64::from(era));
         if let Some(before) = before {
             self.era_rose(before, era, source);
@@ -104,7 +104,11 @@
         };
         let until_ms = self.now_ms() + settle_ms;
         self.targets.borrow_mut().era_rose(until_ms);
-        let withheld = self.quarantine.borrow().all_withheld(self.now_ms()).len();
+        let withheld = self
+            .quarantine
+            .borrow()
+            .withheld_requests(self.now_ms())
+            .len();
         slog::warn!(self.log, "store era rose"; "before" => before, "era" => era,
             "source" => ?source, "settles_in_ms" => settle_ms,
             "kept_declarations" => self.declared().map(|held| held.table.version),
@@ -138,7 +142,7 @@
 
 /// Notes eras that this box hears of in answers to other calls than reads, for as long as it lives.
 pub(crate) async fn run_eras(relay: Rc<Relay>) {
-    let mut eras = relay.store.eras();
+    let mut eras = relay.store.subscribe_era();
     loop {
         let era = *eras.borrow_and_update();
         if let Some(era) = era {
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -1,8 +1,8 @@
 //! One target as a box knows it: what its entry says, what is believed of it, and what it showed.
 
 use crate::rate_limit::state::TargetRateLimit;
-use platform::WorkerLoad;
-use policy::{Backoff, Suspicion, Trial, Warmup};
+use platform::TargetLoad;
+use policy::{OutlierEjection, Probation, RetryAfterBackoff, Warmup};
 use prelude::{DataCentreId, TargetId, Version};
 use routing::TargetEntry;
 
@@ -49,15 +49,15 @@
     /// Bytes of these requests.
     pub open_bytes: u64,
     /// What it last said of its load, and when.
-    pub load: Option<(WorkerLoad, u64)>,
+    pub load: Option<(TargetLoad, u64)>,
     /// The pause that it asked this box for.
-    pub backoff: Backoff,
+    pub backoff: RetryAfterBackoff,
     /// The rate limit that it announces.
     pub rate_limit: TargetRateLimit,
     /// Its latest failures.
-    pub suspicion: Suspicion,
+    pub suspicion: OutlierEjection,
     /// Whether it may be given work after it failed some, on the box that dispatches to it.
-    pub trial: Trial,
+    pub trial: Probation,
     /// Until when it counts as full, by its own word.
     pub full_until_ms: u64,
     /// That it leaves is known from itself or from a box that it told; the store has not said so.
@@ -96,7 +96,7 @@
 
     pub(super) fn sent(self, target: &mut Target, now_ms: u64) {
         if self.rate_per_s.is_some() && now_ms < target.cold_until_ms {
-            target.warmup.sent(now_ms);
+            target.warmup.record_send(now_ms);
         }
     }
 }
@@ -113,7 +113,7 @@
     /// Whether it takes no more right now: it is full by its own word, asked for a pause, or has no tokens left.
     pub(crate) fn is_full(&self, now_ms: u64) -> bool {
         now_ms < self.full_until_ms
-            || self.backoff.left_ms(now_ms).is_some()
+            || self.backoff.remaining_ms(now_ms).is_some()
             || self.is_out_of_tokens(now_ms)
     }
 
--- a/components/soak/src/boxes.rs
+++ b/components/soak/src/boxes.rs
@@ -1,8 +1,8 @@
 //! Boxes as processes of their own, started and ended by their ids.
 
 use crate::plan::FileChange;
-use fleet::caller::get;
-use fleet::store::{Door, Store};
+use fleet::caller::get_status;
+use fleet::store::{Store, StoreEndpoint};
 use miette::{IntoDiagnostic, WrapErr, miette};
 use serde_json::{Value, json};
 use std::fs::{File, OpenOptions};
@@ -20,8 +20,8 @@
     log: PathBuf,
     pub callers: SocketAddr,
     readiness: SocketAddr,
-    pub door: Door,
-    _door: fleet::serve::Thread,
+    pub door: StoreEndpoint,
+    _door: fleet::serve::ServerThread,
     child: Option<Child>,
 }
 
@@ -74,7 +74,7 @@
         let [callers, readiness, peers] = addresses else {
             return Err(miette!("a box has three addresses"));
         };
-        let (door_thread, door) = store.door();
+        let (door_thread, door) = store.open_endpoint();
         let file = json!({
             "box": { "name": name, "data_centre": "hall", "callers_address": callers,
                 "readiness_address": readiness, "peers_address": peers },
@@ -189,7 +189,7 @@
 
     /// Whether it takes new channels.
     pub fn is_ready(&self) -> bool {
-        get(self.readiness, "/v1/readiness") == Some(200)
+        get_status(self.readiness, "/v1/readiness") == Some(200)
     }
 }
 
--- a/components/soak/src/plan.rs
+++ b/components/soak/src/plan.rs
@@ -2,7 +2,7 @@
 
 use fleet::link;
 use fleet::store;
-use fleet::target::Act;
+use fleet::target::Behaviour;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,7 +66,7 @@
     /// The store has trouble, for one box or for all.
     Store {
         at: Option<usize>,
-        trouble: store::Trouble,
+        trouble: store::StoreFault,
         lasts_ms: u64,
     },
     /// The store forgets its history.
@@ -84,11 +84,11 @@
     /// A plain target leaves, and another comes.
     TargetLeaves { at: usize },
     /// A plain target does these with its next requests.
-    Acts { at: usize, acts: Vec<Act> },
+    Acts { at: usize, acts: Vec<Behaviour> },
     /// The link before a plain target has trouble.
     Link {
         at: usize,
-        trouble: link::Trouble,
+        trouble: link::LinkFault,
         lasts_ms: u64,
     },
     /// An engine leaves, and another comes.
@@ -283,8 +283,8 @@
     }
 }
 
-fn store_trouble(rng: &mut ChaCha8Rng) -> store::Trouble {
-    use store::Trouble::*;
+fn store_trouble(rng: &mut ChaCha8Rng) -> store::StoreFault {
+    use store::StoreFault::*;
     let slow = Slow(rng.random_range(20..300));
     let all = [Busy, Many, Reset, Silent, LosesWrites, slow];
     *all.choose(rng).unwrap_or(&Busy)
@@ -296,15 +296,15 @@
     *all.choose(rng).unwrap_or(&Good)
 }
 
-fn link_trouble(rng: &mut ChaCha8Rng) -> link::Trouble {
-    use link::Trouble::*;
+fn link_trouble(rng: &mut ChaCha8Rng) -> link::LinkFault {
+    use link::LinkFault::*;
     let late = Late(rng.random_range(5..120));
     let all = [late, Reset, Silent, OneWay];
     *all.choose(rng).unwrap_or(&Reset)
 }
 
-fn acts(rng: &mut ChaCha8Rng) -> Vec<Act> {
-    use Act::*;
+fn acts(rng: &mut ChaCha8Rng) -> Vec<Behaviour> {
+    use Behaviour::*;
     let all = [
         Fails,
         Full,
--- a/components/soak/src/play.rs
+++ b/components/soak/src/play.rs
@@ -76,7 +76,7 @@
     history.unreadable = unreadable;
     let broken = check(&history);
     let served = history.calls.iter().filter(
-        |call| matches!(&call.outcome, Outcome::Answered(got) if got.status == 200 && got.whole),
+        |call| matches!(&call.outcome, Outcome::Answered(got) if got.status == 200 && got.is_complete),
     );
     let logs = match broken.is_empty() {
         true => {
@@ -194,7 +194,7 @@
             Step::ToggleKey => self.toggle_key(),
             Step::Storm { changes } => (0..*changes).for_each(|_| self.declare()),
             Step::TargetLeaves { at } => self.target_leaves(*at, now_ms),
-            Step::Acts { at, acts } => self.plain[*at].target.record.will(acts),
+            Step::Acts { at, acts } => self.plain[*at].target.recorder.queue_behaviours(acts),
             Step::Link {
                 at,
                 trouble,
@@ -226,8 +226,8 @@
             Step::EngineLeaves { at } => self.engine_leaves(*at, now_ms),
             Step::EngineCrash { at, lasts_ms } => {
                 self.engines[*at]
-                    .pace
-                    .crashed
+                    .behaviour
+                    .truncates_events
                     .store(true, Ordering::Relaxed);
                 let well = Later::EngineWell {
                     at: *at,
@@ -279,7 +279,7 @@
         self.later.push((now_ms + lasts_ms, Later::TakeBack(place)));
     }
 
-    pub(crate) fn trouble_store(&mut self, at: Option<usize>, trouble: store::Trouble) {
+    pub(crate) fn trouble_store(&mut self, at: Option<usize>, trouble: store::StoreFault) {
         let boxes = self.boxes.iter().enumerate();
         let doors = boxes.filter(|(other, _)| at.is_none_or(|at| at == *other));
         doors.for_each(|(_, one)| one.door.set(trouble));
@@ -288,7 +288,8 @@
     /// Declares the same again, under a higher version.
     fn declare(&mut self) {
         self.version += 1;
-        self.store.declare_toggled(self.version, self.key_holds);
+        self.store
+            .configure_toggled_key(self.version, self.key_holds);
     }
 
     fn toggle_key(&mut self) {
@@ -307,14 +308,14 @@
                 self.disturb(Trouble::Broken, Some(at), from_ms, now_ms);
             }
             Later::StoreWell { at, from_ms } => {
-                self.trouble_store(at, store::Trouble::None);
+                self.trouble_store(at, store::StoreFault::None);
                 self.disturb(Trouble::Store, at, from_ms, now_ms);
             }
-            Later::LinkWell(at) => self.plain[at].link.set(link::Trouble::None),
+            Later::LinkWell(at) => self.plain[at].link.set(link::LinkFault::None),
             Later::EngineWell { at, from_ms } => {
                 self.engines[at]
-                    .pace
-                    .crashed
+                    .behaviour
+                    .truncates_events
                     .store(false, Ordering::Relaxed);
                 self.history.crashes.push((from_ms, now_ms));
             }
@@ -326,16 +327,16 @@
                 }
             }
             Later::GoodFile(at) => self.boxes[at].write_file(),
-            Later::AnnounceNothing(record) => record.announce(&[]),
-            Later::ForgetActs(record) => record.forget_acts(),
+            Later::AnnounceNothing(record) => record.set_extra_headers(&[]),
+            Later::ForgetActs(record) => record.clear_behaviours(),
             Later::TakeBack(place) => {
                 // What the check allows again from then on may be sent a moment later.
                 if let Some(evacuated) = self.history.evacuated.last_mut() {
                     evacuated.until_ms = evacuated.until_ms.min(now_ms);
                 }
-                self.store.take_back(place);
+                self.store.cancel_evacuation(place);
             }
-            Later::StoreGoes => self.trouble_store(None, store::Trouble::Reset),
+            Later::StoreGoes => self.trouble_store(None, store::StoreFault::Reset),
             Later::StoreBack {
                 from_ms,
                 age_ms,
@@ -359,7 +360,7 @@
         let lost_ms = self.now_ms();
         self.boxes.iter_mut().for_each(BoxProcess::kill);
         for plain in &self.plain {
-            plain.target.record.forget_acts();
+            plain.target.recorder.clear_behaviours();
         }
         let until_ms = lost_ms + RECOVERY_MS + self.soak.slack_ms;
         self.disturb(Trouble::Broken, None, lost_ms, until_ms);
