--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -343,7 +343,7 @@
     pub(crate) async fn run_dispatchers(&self) {
         loop {
             sleep(SYNC_EACH).await;
-            let passing = self.targets.borrow_mut().take_passing(self.now_ms());
+            let passing = self.targets.borrow_mut().take_transient(self.now_ms());
             self.sync_engines(&passing);
             self.gauge_shares();
             self.show_forecasts();
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -1,7 +1,7 @@
 //! Which engines the pools that are dispatched here may use: those that take work, are not doubted and not on trial.
 
 use crate::state::{Declared, Relay, pool_of};
-use crate::watch::targets::{Target, TargetBook};
+use crate::watch::targets::{Target, TargetRegistry};
 use peers::EngineFault;
 use policy::{EngineInfo, EngineState, FAILOVER_MS, FAILOVER_SHARE, Pool};
 use prelude::{PoolId, TargetId};
@@ -35,7 +35,7 @@
 }
 
 impl PoolService<'_> {
-    fn engine(&self, targets: &TargetBook, target: &Target, now_ms: u64) -> KnownEngine {
+    fn engine(&self, targets: &TargetRegistry, target: &Target, now_ms: u64) -> KnownEngine {
         let is_cold = now_ms < target.cold_until_ms;
         let info = EngineInfo {
             id: target.id,
@@ -43,8 +43,8 @@
             data_centre: target.data_centre,
             cold_rate_per_s: self.service.cold_rate_per_s.filter(|_| is_cold),
         };
-        let doubted = target.suspicion.is_ejected(now_ms)
-            || (self.trials_count && target.trial.is_on(now_ms));
+        let doubted = target.outlier.is_ejected(now_ms)
+            || (self.trials_count && target.probation.is_on(now_ms));
         let state = match targets.takes_work(target) && !doubted {
             true => EngineState::Live,
             false => EngineState::Leaving,
@@ -123,7 +123,7 @@
     fn services_of<'a>(
         &self,
         held: &'a Declared,
-        targets: &TargetBook,
+        targets: &TargetRegistry,
         pool: PoolId,
     ) -> Vec<PoolService<'a>> {
         let now_ms = self.now_ms();
@@ -136,7 +136,7 @@
             Some(PoolService {
                 service,
                 memory_tokens: service.engine?.memory_tokens,
-                trials_count: !targets.most_on_trial(&service.name, now_ms),
+                trials_count: !targets.most_on_probation(&service.name, now_ms),
                 granted_share,
                 began_ms,
             })
@@ -167,7 +167,7 @@
         {
             let mut targets = self.targets.borrow_mut();
             if let Some(slot) = targets.slot_of(target) {
-                let counts = targets.failed_generation(slot, fault, now_ms);
+                let counts = targets.record_generation_failure(slot, fault, now_ms);
                 let name = targets.get(slot).map(|target| &*target.entry.instance);
                 slog::info!(self.log, "engine doubted"; "engine" => name,
                     "fault" => ?fault, "on_trial" => counts);
@@ -176,7 +176,7 @@
         // The pool may not have been dispatched here before.
         self.with_dispatcher(pool, |_, _| ());
         // Whether trials count may have changed for all that are on trial.
-        let passing = self.targets.borrow_mut().take_passing(now_ms);
+        let passing = self.targets.borrow_mut().take_transient(now_ms);
         self.sync_engines(&passing);
     }
 
@@ -185,7 +185,7 @@
         let mut targets = self.targets.borrow_mut();
         let slot = target.and_then(|target| targets.slot_of(target));
         if let Some(target) = slot.and_then(|slot| targets.get_mut(slot)) {
-            target.trial.record_event(is_first, now_ms);
+            target.probation.record_event(is_first, now_ms);
         }
     }
 }
--- a/components/relay/src/dispatch/reports.rs
+++ b/components/relay/src/dispatch/reports.rs
@@ -5,8 +5,8 @@
 use crate::forwarding::control::control;
 use crate::forwarding::outcome::TargetOutcome;
 use crate::state::Relay;
-use crate::watch::election::{View, another_asks, is_elected, rank};
-use crate::watch::targets::{Belief, Target, TargetSlot};
+use crate::watch::election::{View, another_box_polls, is_elected, rank};
+use crate::watch::targets::{Target, TargetSlot, TargetState};
 use platform::{parse_report, report_request};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -60,8 +60,8 @@
         false => Asks::None,
         // The first in rank asks whatever others do, so that two never wait for each other.
         true if rank(relay) == Some(0) => Asks::All,
-        true if another_asks(relay) && asks_all_at_once(relay) => Asks::None,
-        true if is_elected(relay) && !another_asks(relay) => Asks::All,
+        true if another_box_polls(relay) && asks_all_at_once(relay) => Asks::None,
+        true if is_elected(relay) && !another_box_polls(relay) => Asks::All,
         true => Asks::LocalReply,
     }
 }
@@ -84,7 +84,7 @@
         let now_ms = relay.now_ms();
         let open = {
             let mut targets = relay.targets.borrow_mut();
-            let open = targets.open_trials(now_ms).into_iter();
+            let open = targets.due_probes(now_ms).into_iter();
             let address = |slot| Some((slot, targets.get(slot)?.entry.address));
             open.filter_map(address).collect::<Vec<_>>()
         };
@@ -113,8 +113,9 @@
     let targets = relay.targets.borrow();
     let engine_services = held.table.services.iter().filter(|s| s.engine.is_some());
     let names: Vec<&str> = engine_services.map(|service| &*service.name).collect();
-    let is_ready =
-        |target: &Target| target.belief == Belief::Ready && names.contains(&&*target.entry.service);
+    let is_ready = |target: &Target| {
+        target.state == TargetState::Ready && names.contains(&&*target.entry.service)
+    };
     let in_use = targets.in_use().into_iter();
     let in_use: Vec<TargetSlot> = in_use
         .filter(|slot| targets.get(*slot).is_some_and(is_ready))
@@ -143,7 +144,7 @@
     if report.is_some()
         && let Some(target) = relay.targets.borrow_mut().get_mut(slot)
     {
-        target.trial.record_probe_answer(now_ms);
+        target.probation.record_probe_answer(now_ms);
     }
     if let Some(report) = report.filter(|report| report.is_leaving) {
         slog::info!(relay.log, "engine says that it leaves"; "engine" => relay.name_of(slot),
--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -5,7 +5,7 @@
 use crate::membership::gossip::tell_current;
 use crate::membership::members::Upserted;
 use crate::state::Relay;
-use crate::watch::election::ALONE_MS;
+use crate::watch::election::ISOLATION_TIMEOUT_MS;
 use prelude::{PermitId, PoolId};
 use std::rc::Rc;
 
@@ -69,13 +69,13 @@
     /// Whether no other box was heard for so long that its pools are dispatched elsewhere.
     pub(crate) fn is_cut_off(&self, now_ms: u64) -> bool {
         let heard_ms = self.members.borrow().heard_any_ms();
-        heard_ms > 0 && heard_ms + ALONE_MS < now_ms
+        heard_ms > 0 && heard_ms + ISOLATION_TIMEOUT_MS < now_ms
     }
 
     /// Whether no other box is heard, or ever was.
     pub(crate) fn hears_nobody(&self, now_ms: u64) -> bool {
         let heard_ms = self.members.borrow().heard_any_ms();
-        heard_ms == 0 || heard_ms + ALONE_MS < now_ms
+        heard_ms == 0 || heard_ms + ISOLATION_TIMEOUT_MS < now_ms
     }
 
     /// Notes that a box was heard. Where roles moved by it, requests that wait ask the box that dispatches their pool now, and
--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -58,7 +58,7 @@
         let is_new = self
             .targets
             .borrow_mut()
-            .asked_for_pause(slot, pause_ms, now_ms);
+            .record_retry_after(slot, pause_ms, now_ms);
         if is_new && pause_ms > 0 {
             metrics::counter!("shuntpier_target_pauses").increment(1);
             slog::info!(self.log, "target asks for a pause"; "target" => self.name_of(slot),
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -2,7 +2,7 @@
 //! at a few targets, drawn anew each time, so that its cost does not grow with the targets.
 
 use crate::state::Relay;
-use crate::watch::targets::{COLD_SHARE, ColdRate, FAR_SHARE, Target, TargetBook, TargetSlot};
+use crate::watch::targets::{COLD_SHARE, ColdRate, FAR_SHARE, Target, TargetRegistry, TargetSlot};
 use policy::{Candidate, HintBudget, RouteStats, SelectionPolicy, TargetStats, choose_target};
 use rand::seq::IndexedRandom;
 use routing::Route;
@@ -77,7 +77,7 @@
     fn drawn(
         &mut self,
         relay: &Relay,
-        book: &TargetBook,
+        book: &TargetRegistry,
         service: &str,
     ) -> (Vec<TargetSlot>, bool) {
         let version = *relay.target_changes.borrow();
@@ -125,7 +125,7 @@
         Candidate {
             latency_ratio: known.map_or(1.0, |record| record.latency_ratio(now_ms)),
             fullness: target.fullness(now_ms),
-            excess_failure_rate: target.suspicion.failed_share() + known.map_or(0.0, of_route),
+            excess_failure_rate: target.outlier.failed_share() + known.map_or(0.0, of_route),
             penalty: far + cold,
             deprioritized: known.is_some_and(|record| record.suspicion.is_deprioritized(now_ms)),
             suspected: known.is_some_and(|record| record.suspicion.is_suspected(now_ms)),
@@ -196,7 +196,7 @@
     fn against(
         &self,
         balance: &CallBalance,
-        book: &TargetBook,
+        book: &TargetRegistry,
         slot: TargetSlot,
         asked: &Asked,
         tried: &[TargetSlot],
@@ -205,7 +205,7 @@
         let now_ms = self.now_ms();
         let takes_it = book.takes_work(target) && asked.cold.allows(target, now_ms);
         let is_full = target.is_full(now_ms) || !balance.has_room(slot, target.open);
-        let has_failed = target.suspicion.is_ejected(now_ms);
+        let has_failed = target.outlier.is_ejected(now_ms);
         takes_it.then_some((tried.contains(&slot), has_failed, is_full))
     }
 
@@ -213,7 +213,7 @@
     fn given(
         &self,
         balance: &CallBalance,
-        book: &TargetBook,
+        book: &TargetRegistry,
         drawn: Vec<TargetSlot>,
         asked: &Asked,
         tried: &[TargetSlot],
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -201,7 +201,10 @@
     if again && !relay.take_resend(service) {
         return None;
     }
-    relay.targets.borrow_mut().chosen(slot, asked.cold, now_ms);
+    relay
+        .targets
+        .borrow_mut()
+        .record_chosen(slot, asked.cold, now_ms);
     Some(slot)
 }
 
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -3,7 +3,7 @@
 use crate::forwarding::send::NotRun;
 use crate::membership::gossip::tell_current;
 use crate::state::Relay;
-use crate::watch::targets::{Belief, TargetBook, TargetSlot};
+use crate::watch::targets::{TargetRegistry, TargetSlot, TargetState};
 use prelude::TargetId;
 use settings::Mechanism;
 use std::rc::Rc;
@@ -53,26 +53,26 @@
         let now_ms = self.now_ms();
         let mut targets = self.targets.borrow_mut();
         let left = match word {
-            TargetOutcome::Left => targets.leaves(slot),
-            TargetOutcome::Leaves => targets.says_it_leaves(slot),
+            TargetOutcome::Left => targets.mark_leaving(slot),
+            TargetOutcome::Leaves => targets.record_leaving_announcement(slot),
             _ => None,
         };
         if word == TargetOutcome::Full {
-            targets.full(slot, now_ms);
+            targets.record_full(slot, now_ms);
         }
-        let passed_over = |targets: &TargetBook| {
+        let passed_over = |targets: &TargetRegistry| {
             let target = targets.get(slot);
-            target.is_some_and(|target| target.suspicion.is_ejected(now_ms))
+            target.is_some_and(|target| target.outlier.is_ejected(now_ms))
         };
         let before = passed_over(&targets);
         match word {
             TargetOutcome::Well => {
                 if let Some(target) = targets.get_mut(slot) {
-                    target.suspicion.record_success();
+                    target.outlier.record_success();
                 }
             }
             TargetOutcome::Failed if self.file().has(Mechanism::Suspicion) => {
-                targets.failed(slot, now_ms);
+                targets.record_failure(slot, now_ms);
             }
             TargetOutcome::Failed
             | TargetOutcome::Full
@@ -83,7 +83,7 @@
         let doubted = passed_over(&targets) && !before;
         drop(targets);
         if let Some(change) = left {
-            self.took_changes(&[change], "answer");
+            self.handle_target_changes(&[change], "answer");
             tell_current(self);
         }
         if doubted {
@@ -107,7 +107,7 @@
         let targets = self.targets.borrow();
         targets
             .get(slot)
-            .is_none_or(|target| target.belief == Belief::Gone)
+            .is_none_or(|target| target.state == TargetState::Gone)
     }
 
     /// The name of a target's life; none where it is forgotten.
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -83,8 +83,8 @@
 impl OpenRequest {
     fn new(relay: &Rc<Relay>, slot: TargetSlot, bytes: u64) -> Self {
         let mut targets = relay.targets.borrow_mut();
-        targets.opened(slot);
-        targets.holds(slot, bytes);
+        targets.record_open(slot);
+        targets.add_open_bytes(slot, bytes);
         drop(targets);
         Self {
             relay: relay.clone(),
@@ -97,8 +97,8 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let mut targets = self.relay.targets.borrow_mut();
-        targets.dropped(self.slot, self.bytes);
-        targets.closed(self.slot);
+        targets.remove_open_bytes(self.slot, self.bytes);
+        targets.record_close(self.slot);
         drop(targets);
         self.relay.calls_ended.notify_one();
     }
--- a/components/relay/src/lib.rs
+++ b/components/relay/src/lib.rs
@@ -19,4 +19,4 @@
 pub use forwarding::events::{EventError, EventSplitter, Events};
 pub use rate_limit::state::TargetRateLimit;
 pub use start::{Running, StartError, start};
-pub use watch::targets::{Belief, Change, ColdRate, Target, TargetBook, TargetSlot};
+pub use watch::targets::{Change, ColdRate, Target, TargetRegistry, TargetSlot, TargetState};
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -166,14 +166,14 @@
         relay.heard_asker_ms.set(relay.now_ms());
     }
     let fetched = take_patch(relay, &news.digest, news.target_patch);
-    relay.took_changes(&fetched, "fetch");
+    relay.handle_target_changes(&fetched, "fetch");
     let mut changes = Vec::new();
     if let Some(told) = news.target_changes {
         changes.extend(take_changes(relay, &news.digest, told));
     }
-    let left = relay.targets.borrow_mut().told_leaving(&news.leaving);
+    let left = relay.targets.borrow_mut().apply_leaving(&news.leaving);
     changes.extend(left);
-    relay.took_changes(&changes, "peer");
+    relay.handle_target_changes(&changes, "peer");
     relay.observe_peer_rates(&news.rates);
     take_confirmations(relay, &news.digest);
 }
@@ -185,7 +185,7 @@
     let mut targets = relay.targets.borrow_mut();
     let newer = current_to > targets.current_to || !targets.is_known();
     if let Some(patch) = patch.filter(|_| newer) {
-        changes = targets.patch(patch, current_to, now_ms);
+        changes = targets.apply_patch(patch, current_to, now_ms);
         targets.changed_at = targets.changed_at.max(digest.targets_changed_at);
     } else if targets.is_known() && targets.changed_at >= digest.targets_changed_at {
         // Nothing has changed up to there.
@@ -199,15 +199,15 @@
     let (changed_at, current_to) = (digest.targets_changed_at, digest.targets_current_to);
     let now_ms = relay.now_ms();
     let mut targets = relay.targets.borrow_mut();
-    targets.take_told(told, changed_at, current_to, now_ms)
+    targets.apply_changes(told, changed_at, current_to, now_ms)
 }
 
 fn take_evacuations(relay: &Rc<Relay>, digest: &FleetDigest) {
     let told = &digest.evacuations;
     let era = digest.targets_current_to.max(told.version).era();
-    relay.see_era(era, EraSource::Peer);
-    let may_be_copied = relay.is_settling();
-    relay.change_evacuations("peer", |known| match may_be_copied {
+    relay.observe_era(era, EraSource::Peer);
+    let may_be_stale = relay.is_settling();
+    relay.update_evacuations("peer", |known| match may_be_stale {
         true => known.join(told),
         false => known.adopt(told),
     });
--- a/components/relay/src/membership/registration.rs
+++ b/components/relay/src/membership/registration.rs
@@ -7,7 +7,7 @@
 use crate::membership::members::LIFE_UNKNOWN;
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
-use crate::watch::election::CONFIRM_EACH;
+use crate::watch::election::CONFIRM_INTERVAL;
 use peers::FleetCard;
 use platform::Lease;
 use prelude::BoxId;
@@ -33,7 +33,7 @@
 /// Keeps this box's key for as long as it lives, and takes it away when it stops.
 pub(crate) async fn keep_registration(relay: Rc<Relay>) {
     let mut held = None;
-    let mut backoff = Backoff::patient();
+    let mut backoff = Backoff::with_long_pauses();
     let mut pause = first_pause(&relay).await;
     loop {
         tokio::select! {
@@ -56,18 +56,18 @@
             Ok(()) => {
                 backoff.reset();
                 match confirm_followed(&relay) {
-                    true => CONFIRM_EACH,
+                    true => CONFIRM_INTERVAL,
                     false => terms_of(held).renew_each(),
                 }
             }
             Err(error) => {
                 slog::info!(relay.log, "own key not kept"; "error" => %error);
                 metrics::counter!("shuntpier_store_failures", "of" => "presence").increment(1);
-                if backoff.is_fresh() {
+                if backoff.is_reset() {
                     // Watches that hang on a dead channel are opened anew.
                     relay.store_doubted.notify_waiters();
                 }
-                let next = backoff.next();
+                let next = backoff.next_pause();
                 match relay.following.get().any() {
                     true => next,
                     false => next.max(AGAIN_EACH_MIN),
@@ -164,7 +164,7 @@
 /// Reads the keys of all boxes: at once where no seed named others, and then now and then, as they were some
 /// seconds ago. No box watches them: each new box makes itself known to all that it finds.
 pub(crate) async fn read_boxes(relay: Rc<Relay>) {
-    let mut backoff = Backoff::patient();
+    let mut backoff = Backoff::with_long_pauses();
     relay.seeds_asked().await;
     let mut begun = !relay.members.borrow().others().is_empty();
     if begun {
@@ -191,7 +191,7 @@
             }
             Err(error) => {
                 slog::info!(relay.log, "boxes not read"; "error" => %error);
-                let pause = backoff.next();
+                let pause = backoff.next_pause();
                 sleep(if begun {
                     pause.max(AGAIN_EACH_MIN)
                 } else {
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/mover.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::control::control;
 use crate::migration::moved::{Moved, free_copy};
 use crate::state::Relay;
-use crate::watch::targets::{Belief, TargetSlot};
+use crate::watch::targets::{TargetSlot, TargetState};
 use peers::RelocateReply;
 use platform::{CopyReply, copy_request, parse_copy_reply};
 use prelude::{PoolId, TargetId};
@@ -179,10 +179,10 @@
         let Some(target) = targets.get(permit.slot) else {
             return;
         };
-        let cause = match target.belief {
-            Belief::Ready if !targets.is_evacuated(target) || self.stays_evacuated => return,
-            Belief::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
-            Belief::Ready => Cause::Evacuated,
+        let cause = match target.state {
+            TargetState::Ready if !targets.is_evacuated(target) || self.stays_evacuated => return,
+            TargetState::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
+            TargetState::Ready => Cause::Evacuated,
             _ => Cause::Leaves,
         };
         if !self.moves {
--- a/components/relay/src/quarantine/broken.rs
+++ b/components/relay/src/quarantine/broken.rs
@@ -2,7 +2,7 @@
 //! ends without having said that it leaves is put down to what ran there.
 
 use crate::state::Relay;
-use crate::watch::targets::{Belief, Target, TargetSlot};
+use crate::watch::targets::{Target, TargetSlot, TargetState};
 use http1::Channel;
 use prelude::{RequestKey, TargetEnd, TargetId};
 use std::collections::HashMap;
@@ -100,7 +100,7 @@
         let (target, address) = {
             let targets = self.targets.borrow();
             // One that leaves ends by plan, whatever still runs there.
-            let took_work = |target: &&Target| target.belief == Belief::Ready;
+            let took_work = |target: &&Target| target.state == TargetState::Ready;
             let Some(target) = targets.get(slot).filter(took_work) else {
                 return;
             };
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -69,7 +69,7 @@
 /// Reads all records, on a box that starts at once, and then now and then.
 pub(crate) async fn read_records(relay: Rc<Relay>) {
     tokio::task::spawn_local(ask_at_start(relay.clone()));
-    let mut backoff = Backoff::patient();
+    let mut backoff = Backoff::with_long_pauses();
     loop {
         metrics::counter!("shuntpier_store_calls", "of" => "records").increment(1);
         match relay.store.list_stale(PREFIX).await {
@@ -94,7 +94,7 @@
 /// How long a box leaves the store after a read that failed: the longer the more boxes there are, as a store that turns many
 /// away is asked by all of them.
 fn pause_of_refused(backoff: &mut Backoff, times: u32) -> Duration {
-    backoff.next() * times
+    backoff.next_pause() * times
 }
 
 /// A box that hears others is told of ends by them, and reads the less often the more there are.
@@ -166,7 +166,7 @@
 
 /// Joins what this box knows of a request with what the store has.
 async fn write_record(relay: Rc<Relay>, request: RequestKey) {
-    let mut backoff = Backoff::patient();
+    let mut backoff = Backoff::with_long_pauses();
     for _ in 0..TRIES_MAX {
         match join_once(&relay, request).await {
             Ok(true) => return,
--- a/components/relay/src/quarantine/record_tests.rs
+++ b/components/relay/src/quarantine/record_tests.rs
@@ -3,7 +3,7 @@
 /// How often a box reads records within 10 s while the store turns it away; it reads so many times less often than where
 /// boxes are few.
 fn reads_turned_away(times: u32) -> usize {
-    let mut backoff = Backoff::patient();
+    let mut backoff = Backoff::with_long_pauses();
     let mut at = Duration::ZERO;
     let mut reads = 0;
     while at < Duration::from_secs(10) {
--- a/components/relay/src/rate_limit/announced.rs
+++ b/components/relay/src/rate_limit/announced.rs
@@ -68,7 +68,7 @@
                 return;
             }
             let shown = target.rate_limit.take_shown();
-            targets.rate_limit_changed(slot);
+            targets.index_rate_limit(slot);
             shown
         };
         let Some((limit_per_s, before_per_s)) = shown else {
@@ -106,7 +106,7 @@
 
     /// The limits that are in force, some of them where they are many.
     pub(crate) fn known_rates(&self) -> Vec<TargetRate> {
-        let limited = self.targets.borrow().some_rate_limited(SENT_MAX);
+        let limited = self.targets.borrow().sample_rate_limited(SENT_MAX);
         let rates = limited
             .into_iter()
             .filter_map(|slot| self.target_rate(slot));
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -14,10 +14,10 @@
 use crate::membership::stand_back::StandBacks;
 use crate::quarantine::broken::BrokenRuns;
 use crate::rate_limit::state::RateLimits;
-use crate::watch::election::{Followed, View};
+use crate::watch::election::{FollowedViews, View};
 use crate::watch::evacuation::Evacuation;
 use crate::watch::refused::RefusedEntries;
-use crate::watch::targets::TargetBook;
+use crate::watch::targets::TargetRegistry;
 use arc_swap::Guard;
 use peers::{FleetCard, FleetClients, FleetDigest, KeyRing};
 use platform::{FleetStore, Lease};
@@ -65,7 +65,7 @@
     /// When it was last confirmed that these declarations are the newest.
     pub(crate) declared_confirmed_ms: Cell<Option<u64>>,
     pub(crate) evacuation: RefCell<Evacuation>,
-    pub(crate) targets: RefCell<TargetBook>,
+    pub(crate) targets: RefCell<TargetRegistry>,
     /// Entries of targets that could not be used.
     pub(crate) refused_entries: RefCell<RefusedEntries>,
     /// Rises with each change of targets that matters.
@@ -100,7 +100,7 @@
     /// Following targets failed, and has not succeeded since.
     pub(crate) targets_doubted: Cell<bool>,
     /// Views of the store that this box follows now.
-    pub(crate) following: Cell<Followed>,
+    pub(crate) following: Cell<FollowedViews>,
     /// When the store last answered again after trouble.
     pub(crate) store_back_ms: Cell<Option<u64>>,
     /// This box begins to follow a view.
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -3,16 +3,16 @@
 use crate::forwarding::balance::{CallBalance, route_key};
 use crate::state::{Relay, pool_of};
 use crate::watch::targets::TargetSlot;
-use crate::watch::targets::{Belief, Target, TargetBook};
+use crate::watch::targets::{Target, TargetRegistry, TargetState};
 use operators::{EvacuationView, FleetTargetView, FleetView, TargetCallsView, TargetPaceView};
 use policy::TargetStats;
 
-fn state_of(targets: &TargetBook, target: &Target) -> &'static str {
-    match target.belief {
-        Belief::Ready if targets.is_evacuated(target) => "evacuated",
-        Belief::Ready => "ready",
-        Belief::Leaving => "leaving",
-        Belief::Gone => "gone",
+fn state_of(targets: &TargetRegistry, target: &Target) -> &'static str {
+    match target.state {
+        TargetState::Ready if targets.is_evacuated(target) => "evacuated",
+        TargetState::Ready => "ready",
+        TargetState::Leaving => "leaving",
+        TargetState::Gone => "gone",
     }
 }
 
@@ -42,7 +42,7 @@
         let now_ms = self.now_ms();
         let evacuated = self.evacuation.borrow().since_ms();
         let view = |(name, since_ms): (Box<str>, u64)| EvacuationView {
-            open: self.open_in(&name),
+            open: self.open_requests_in(&name),
             for_s: (now_ms - since_ms) as f64 / 1000.0,
             data_centre: name.into(),
         };
@@ -105,7 +105,7 @@
             limit: record.limit.max_calls(),
             spared: record.suspicion.is_deprioritized(now_ms),
             doubted: record.suspicion.is_suspected(now_ms),
-            passed_over: target.suspicion.is_ejected(now_ms),
+            passed_over: target.outlier.is_ejected(now_ms),
             failed_by_route: self.failed_by_route(record),
         })
     }
--- a/components/relay/src/watch/backoff.rs
+++ b/components/relay/src/watch/backoff.rs
@@ -9,45 +9,45 @@
 const PAUSE_MAX: Duration = Duration::from_millis(1_600);
 
 /// The longest for what can wait: a box whose key lapses is still known to its peers.
-const PATIENT_PAUSE_MAX: Duration = Duration::from_millis(6_400);
+const LONG_PAUSE_MAX: Duration = Duration::from_millis(6_400);
 
 /// Pauses that double with each failure.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
     pause: Duration,
-    longest: Duration,
+    pause_max: Duration,
 }
 
 impl Backoff {
     pub(crate) fn new() -> Self {
         Self {
             pause: PAUSE_MIN,
-            longest: PAUSE_MAX,
+            pause_max: PAUSE_MAX,
         }
     }
 
     /// Pauses that grow longer, for what can wait.
-    pub(crate) fn patient() -> Self {
+    pub(crate) fn with_long_pauses() -> Self {
         Self {
-            longest: PATIENT_PAUSE_MAX,
+            pause_max: LONG_PAUSE_MAX,
             ..Self::new()
         }
     }
 
     /// Waits, and makes the next pause longer.
     pub(crate) async fn pause(&mut self) {
-        sleep(self.next()).await;
+        sleep(self.next_pause()).await;
     }
 
     /// The next pause.
-    pub(crate) fn next(&mut self) -> Duration {
+    pub(crate) fn next_pause(&mut self) -> Duration {
         let pause = self.pause;
-        self.pause = (pause * 2).min(self.longest);
+        self.pause = (pause * 2).min(self.pause_max);
         pause
     }
 
     /// Whether nothing has failed since the last success.
-    pub(crate) fn is_fresh(&self) -> bool {
+    pub(crate) fn is_reset(&self) -> bool {
         self.pause == PAUSE_MIN
     }
 
--- a/components/relay/src/watch/changes.rs
+++ b/components/relay/src/watch/changes.rs
@@ -6,14 +6,14 @@
 
 impl Relay {
     /// Acts on changes of targets.
-    pub(crate) fn took_changes(self: &Rc<Self>, changes: &[Change], source: &'static str) {
+    pub(crate) fn handle_target_changes(self: &Rc<Self>, changes: &[Change], source: &'static str) {
         let mut changed = Vec::new();
         for change in changes {
             let (slot, word) = match change {
-                Change::Came(slot) => (*slot, "came"),
-                Change::Leaves(slot) => (*slot, "leaves"),
-                Change::Went(slot) => (*slot, "went"),
-                Change::Cold(slot) => (*slot, "cold"),
+                Change::Added(slot) => (*slot, "came"),
+                Change::Leaving(slot) => (*slot, "leaves"),
+                Change::Removed(slot) => (*slot, "went"),
+                Change::TurnedCold(slot) => (*slot, "cold"),
                 Change::Restarted { slot, .. } => (*slot, "restarted"),
             };
             let targets = self.targets.borrow();
@@ -29,17 +29,17 @@
                 metrics::counter!("shuntpier_target_restarts").increment(1);
             }
             let ended = match change {
-                Change::Leaves(slot) | Change::Went(slot) => Some(*slot),
-                Change::Restarted { former, .. } => Some(*former),
-                Change::Came(_) | Change::Cold(_) => None,
+                Change::Leaving(slot) | Change::Removed(slot) => Some(*slot),
+                Change::Restarted { previous, .. } => Some(*previous),
+                Change::Added(_) | Change::TurnedCold(_) => None,
             };
             if let Some(ended) = ended {
                 changed.extend(self.id_of(ended));
-                if !matches!(change, Change::Leaves(_)) {
-                    self.note_unannounced_end(ended);
+                if !matches!(change, Change::Leaving(_)) {
+                    self.handle_unannounced_end(ended);
                 }
                 self.channels.borrow_mut().close(ended);
-                self.targets.borrow_mut().sweep(ended);
+                self.targets.borrow_mut().remove_if_idle(ended);
             }
         }
         if !changes.is_empty() {
@@ -49,10 +49,10 @@
     }
 
     /// Notes the end of a life that is listed no more, where it had not said that it leaves.
-    fn note_unannounced_end(self: &Rc<Self>, slot: TargetSlot) {
+    fn handle_unannounced_end(self: &Rc<Self>, slot: TargetSlot) {
         let life = {
             let targets = self.targets.borrow();
-            let unannounced = targets.get(slot).filter(|target| !target.left);
+            let unannounced = targets.get(slot).filter(|target| !target.was_leaving);
             unannounced.map(|target| (target.id, target.entry.instance.clone()))
         };
         if let Some((target, name)) = life {
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -3,7 +3,7 @@
 //! written. Until then boxes go by what they knew where that withholds work, and by both where they differ.
 
 use crate::state::Relay;
-use crate::watch::targets::{Belief, TargetBook};
+use crate::watch::targets::{TargetRegistry, TargetState};
 use prelude::Version;
 use routing::TargetEntry;
 use std::rc::Rc;
@@ -15,9 +15,9 @@
 const SETTLE_MS: u64 = 6_000;
 /// A box that hears of the era from another one settles so much sooner: it is told what the others read after they settled,
 /// and takes it in.
-const TOLD_LESS_MS: u64 = 1_000;
+const PEER_SETTLE_LEAD_MS: u64 = 1_000;
 /// Within this time boxes write their keys and records again: all at once would pass the store's rate where there are many.
-const WRITE_AGAIN_WITHIN: Duration = Duration::from_millis(5_000);
+const REWRITE_WINDOW: Duration = Duration::from_millis(5_000);
 
 /// Who said that the era rose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,14 +28,14 @@
     Peer,
 }
 
-impl TargetBook {
+impl TargetRegistry {
     /// The store's era rose: until then its list may be a copy's.
-    pub fn era_rose(&mut self, until_ms: u64) {
+    pub fn record_era_rise(&mut self, until_ms: u64) {
         self.settles_until_ms = Some(until_ms);
         for (slot, target) in &mut self.targets {
             // The copy may say otherwise: from now on this is told to boxes that never read it.
-            target.leaves_by_word |= target.belief == Belief::Leaving;
-            self.index.note_leaving(slot, target);
+            target.leaving_reported |= target.state == TargetState::Leaving;
+            self.index.update_leaving(slot, target);
         }
     }
 
@@ -44,26 +44,26 @@
         self.settles_until_ms.filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// Whether an entry is of a life that went in a former era, and may stand in a copy only.
-    pub(super) fn may_be_copied(&self, entry: &TargetEntry, now_ms: u64) -> bool {
+    /// Whether an entry is of a life that went in a previous era, and may stand in a copy only.
+    pub(super) fn may_be_stale(&self, entry: &TargetEntry, now_ms: u64) -> bool {
         if self.settling_until_ms(now_ms).is_none() {
             return false;
         }
         let era = entry.version.era();
         match self.newest(&entry.instance) {
             Some((_, target)) if target.entry.born_ms == entry.born_ms => {
-                target.belief == Belief::Gone && target.entry.version.era() < era
+                target.state == TargetState::Gone && target.entry.version.era() < era
             }
             Some(_) => false,
             None => {
-                let unlisted_at = self.pasts.of(&entry.instance).unlisted_at;
+                let unlisted_at = self.tombstones.get(&entry.instance).unlisted_at;
                 unlisted_at != Version::default() && unlisted_at.era() < era
             }
         }
     }
 
     /// Notes that the list was read anew at a version. After the store has settled, other boxes are to compare theirs with it.
-    pub(super) fn read_at(&mut self, version: Version, now_ms: u64) {
+    pub(super) fn record_list_read(&mut self, version: Version, now_ms: u64) {
         let is_settled = self
             .settles_until_ms
             .is_some_and(|until_ms| until_ms <= now_ms);
@@ -82,7 +82,7 @@
     }
 
     /// Notes the era of something that was said.
-    pub(crate) fn see_era(self: &Rc<Self>, era: u32, source: EraSource) {
+    pub(crate) fn observe_era(self: &Rc<Self>, era: u32, source: EraSource) {
         let before = self.era_seen.get();
         // Where no era is known to a peer, it tells 0.
         let is_told = source == EraSource::Store || era > 0;
@@ -93,17 +93,17 @@
         self.store.observe_era(era);
         metrics::gauge!("shuntpier_store_era").set(f64::from(era));
         if let Some(before) = before {
-            self.era_rose(before, era, source);
+            self.handle_era_rise(before, era, source);
         }
     }
 
-    fn era_rose(self: &Rc<Self>, before: u32, era: u32, source: EraSource) {
+    fn handle_era_rise(self: &Rc<Self>, before: u32, era: u32, source: EraSource) {
         let settle_ms = match source {
             EraSource::Store => SETTLE_MS,
-            EraSource::Peer => SETTLE_MS - TOLD_LESS_MS,
+            EraSource::Peer => SETTLE_MS - PEER_SETTLE_LEAD_MS,
         };
         let until_ms = self.now_ms() + settle_ms;
-        self.targets.borrow_mut().era_rose(until_ms);
+        self.targets.borrow_mut().record_era_rise(until_ms);
         let withheld = self
             .quarantine
             .borrow()
@@ -119,7 +119,7 @@
         // Open watches are on a history that is no more.
         self.store_doubted.notify_waiters();
         tokio::task::spawn_local(settle(self.clone(), era, settle_ms));
-        tokio::task::spawn_local(write_again(self.clone()));
+        tokio::task::spawn_local(rewrite_records(self.clone()));
     }
 }
 
@@ -134,8 +134,8 @@
 }
 
 /// Writes this box's key and the records that it knows again.
-async fn write_again(relay: Rc<Relay>) {
-    sleep(WRITE_AGAIN_WITHIN.mul_f64(rand::random())).await;
+async fn rewrite_records(relay: Rc<Relay>) {
+    sleep(REWRITE_WINDOW.mul_f64(rand::random())).await;
     relay.begins_to_follow.notify_one();
     relay.keep_records_again();
 }
@@ -146,7 +146,7 @@
     loop {
         let era = *eras.borrow_and_update();
         if let Some(era) = era {
-            relay.see_era(era, EraSource::Store);
+            relay.observe_era(era, EraSource::Store);
         }
         if eras.changed().await.is_err() {
             return;
--- a/components/relay/src/watch/era_tests.rs
+++ b/components/relay/src/watch/era_tests.rs
@@ -31,43 +31,46 @@
     Version::new(2, revision)
 }
 
-fn takes_work(book: &TargetBook, instance: &str) -> bool {
+fn takes_work(book: &TargetRegistry, instance: &str) -> bool {
     let newest = book.newest(instance);
     newest.is_some_and(|(_, target)| book.takes_work(target))
 }
 
 /// A book in which `a` is ready and was last written late in the first era, as the era rises.
-fn risen() -> TargetBook {
-    let mut book = TargetBook::default();
+fn risen() -> TargetRegistry {
+    let mut book = TargetRegistry::default();
     book.replace(vec![entry("a", false, first(900))], first(900), None, 0);
-    book.era_rose(UNTIL_MS);
+    book.record_era_rise(UNTIL_MS);
     book
 }
 
 #[test]
 fn what_is_written_in_the_next_era_counts_whatever_its_revision() {
     let mut book = risen();
-    let change = book.listed(entry("a", true, second(10)), 100);
-    assert!(matches!(change, Some(Change::Leaves(_))));
-    assert!(book.listed(entry("b", false, second(11)), 100).is_some());
+    let change = book.apply_entry(entry("a", true, second(10)), 100);
+    assert!(matches!(change, Some(Change::Leaving(_))));
+    assert!(
+        book.apply_entry(entry("b", false, second(11)), 100)
+            .is_some()
+    );
     assert!(takes_work(&book, "b"));
 }
 
 #[test]
 fn a_late_word_of_the_former_era_changes_nothing() {
     let mut book = risen();
-    book.listed(entry("a", true, second(10)), 100);
-    assert_eq!(book.listed(entry("a", false, first(950)), 200), None);
-    assert_eq!(book.unlisted("a", first(960)), None);
+    book.apply_entry(entry("a", true, second(10)), 100);
+    assert_eq!(book.apply_entry(entry("a", false, first(950)), 200), None);
+    assert_eq!(book.unlist("a", first(960)), None);
     assert!(!takes_work(&book, "a"));
 }
 
 #[test]
 fn a_target_that_leaves_stays_so_though_the_copy_says_that_it_is_ready_and_peers_are_told() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRegistry::default();
     book.replace(vec![entry("a", true, first(900))], first(900), None, 0);
     assert!(book.leaving().is_empty(), "the store says it to all");
-    book.era_rose(UNTIL_MS);
+    book.record_era_rise(UNTIL_MS);
     book.replace(vec![entry("a", false, second(800))], second(850), None, 100);
     assert!(!takes_work(&book, "a"));
     assert_eq!(book.leaving().len(), 1);
@@ -78,24 +81,24 @@
     let mut book = risen();
     book.replace(Vec::new(), second(800), None, 100);
     assert!(takes_work(&book, "a"));
-    assert!(book.still_missing(UNTIL_MS - 1).is_empty());
-    assert_eq!(book.still_missing(UNTIL_MS).len(), 1);
-    book.listed(entry("a", false, second(801)), 200);
-    assert!(book.still_missing(UNTIL_MS).is_empty());
+    assert!(book.expired_missing(UNTIL_MS - 1).is_empty());
+    assert_eq!(book.expired_missing(UNTIL_MS).len(), 1);
+    book.apply_entry(entry("a", false, second(801)), 200);
+    assert!(book.expired_missing(UNTIL_MS).is_empty());
 }
 
 #[test]
 fn a_target_that_went_comes_back_by_a_list_only_after_the_store_has_settled() {
     for is_swept in [false, true] {
-        let mut book = TargetBook::default();
+        let mut book = TargetRegistry::default();
         book.replace(vec![entry("a", false, first(900))], first(900), None, 0);
         let (slot, _) = book.newest("a").unwrap();
         if !is_swept {
-            book.opened(slot);
+            book.record_open(slot);
         }
-        book.unlisted("a", first(901));
-        book.sweep(slot);
-        book.era_rose(UNTIL_MS);
+        book.unlist("a", first(901));
+        book.remove_if_idle(slot);
+        book.record_era_rise(UNTIL_MS);
         book.replace(vec![entry("a", false, second(800))], second(850), None, 100);
         assert!(!takes_work(&book, "a"));
         book.replace(
@@ -112,11 +115,11 @@
 fn others_are_to_compare_their_lists_once_the_store_has_settled() {
     let mut book = risen();
     book.replace(vec![entry("a", false, second(800))], second(850), None, 100);
-    book.read_at(second(850), 100);
+    book.record_list_read(second(850), 100);
     assert_eq!(book.changed_at, first(900));
-    book.read_at(second(870), UNTIL_MS);
+    book.record_list_read(second(870), UNTIL_MS);
     assert_eq!(book.changed_at, second(870));
-    book.read_at(second(880), UNTIL_MS + 1);
+    book.record_list_read(second(880), UNTIL_MS + 1);
     assert_eq!(book.changed_at, second(870));
 }
 
@@ -129,26 +132,26 @@
         last in prop::collection::btree_set(0..3_usize, 0..3),
     ) {
         let names = ["a", "b", "c"];
-        let mut book = TargetBook::default();
+        let mut book = TargetRegistry::default();
         let mut left = std::collections::HashSet::new();
         let mut era = 1;
         for (told_era, revision, name, leaves, kind) in words {
             if told_era > era {
                 era = told_era;
-                book.era_rose(UNTIL_MS);
+                book.record_era_rise(UNTIL_MS);
             }
             let (name, version) = (names[name], Version::new(told_era, revision));
             let known = book.newest(name).is_none_or(|(_, target)| target.entry.version <= version);
             match kind {
                 0 => {
-                    book.listed(entry(name, leaves, version), 10);
+                    book.apply_entry(entry(name, leaves, version), 10);
                     let is_in = book.newest(name).is_some();
                     if leaves && known && is_in {
                         left.insert(name);
                     }
                 }
                 1 => {
-                    if book.unlisted(name, version).is_some() {
+                    if book.unlist(name, version).is_some() {
                         left.remove(name);
                     }
                 }
@@ -157,17 +160,17 @@
                 }
             }
             // One that vanished while it left may come back, where lives name no births.
-            left.retain(|name| book.newest(name).is_some_and(|(_, t)| t.belief != Belief::Gone));
+            left.retain(|name| book.newest(name).is_some_and(|(_, t)| t.state != TargetState::Gone));
             for name in &left {
                 prop_assert!(!takes_work(&book, name), "{} leaves", name);
             }
         }
         let version = Version::new(3, 1);
-        book.era_rose(20);
+        book.record_era_rise(20);
         let listed = last.iter().map(|at| entry(names[*at], false, version)).collect();
         book.replace(listed, version, None, 20);
         for (at, name) in names.iter().enumerate() {
-            let is_listed = book.newest(name).is_some_and(|(_, t)| t.belief != Belief::Gone);
+            let is_listed = book.newest(name).is_some_and(|(_, t)| t.state != TargetState::Gone);
             prop_assert_eq!(is_listed, last.contains(&at), "{}", name);
         }
     }
--- a/components/relay/src/watch/evacuation.rs
+++ b/components/relay/src/watch/evacuation.rs
@@ -1,5 +1,5 @@
 //! Data centres that operators have evacuated, on one box: since when, and how much of this box's work is still
-//! there. What follows from it for placement is decided in [`crate::watch::targets::TargetBook::takes_work`] alone.
+//! there. What follows from it for placement is decided in [`crate::watch::targets::TargetRegistry::takes_work`] alone.
 
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// How often it is looked how much is still there.
-const LOOK_EACH: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One evacuated data centre.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 
 /// The data centres whose evacuation begins or ends with a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Changed {
+struct EvacuationDiff {
     begun: Vec<Box<str>>,
     ended: Vec<Box<str>>,
 }
@@ -51,11 +51,11 @@
     }
 
     /// Changes what is known; none where the set stays.
-    fn change(
+    fn update(
         &mut self,
         now_ms: u64,
         change: impl FnOnce(&mut Evacuations) -> bool,
-    ) -> Option<Changed> {
+    ) -> Option<EvacuationDiff> {
         if !change(&mut self.known) {
             return None;
         }
@@ -71,19 +71,19 @@
             };
             self.evacuated.insert(name.clone(), evacuated);
         }
-        Some(Changed { begun, ended })
+        Some(EvacuationDiff { begun, ended })
     }
 }
 
 impl Relay {
     /// Changes which evacuations are known, and acts on what changed. Says whether anything did.
-    pub(crate) fn change_evacuations(
+    pub(crate) fn update_evacuations(
         &self,
         source: &'static str,
         change: impl FnOnce(&mut Evacuations) -> bool,
     ) -> bool {
-        let changed = self.evacuation.borrow_mut().change(self.now_ms(), change);
-        let Some(Changed { begun, ended }) = changed else {
+        let changed = self.evacuation.borrow_mut().update(self.now_ms(), change);
+        let Some(EvacuationDiff { begun, ended }) = changed else {
             return false;
         };
         let (version, names) = {
@@ -125,7 +125,7 @@
     }
 
     /// Requests that this box has open at targets of a data centre.
-    pub(crate) fn open_in(&self, data_centre: &str) -> u32 {
+    pub(crate) fn open_requests_in(&self, data_centre: &str) -> u32 {
         let id = DataCentreId::from_name(data_centre);
         let targets = self.targets.borrow();
         let there = targets.all().filter(|(_, target)| target.data_centre == id);
@@ -133,10 +133,10 @@
     }
 
     /// Says of each evacuated data centre how much of this box's work is there, and once when nothing is left.
-    fn look_at_evacuated(&self) {
+    fn update_evacuation_progress(&self) {
         let evacuated = self.evacuation.borrow().evacuated.clone();
         for (name, state) in evacuated {
-            let open = self.open_in(&name);
+            let open = self.open_requests_in(&name);
             metrics::gauge!("shuntpier_evacuated_open", "data_centre" => name.to_string())
                 .set(f64::from(open));
             if (open == 0) == state.is_empty {
@@ -156,8 +156,8 @@
 /// Looks how much is still in evacuated data centres, for as long as the box lives.
 pub(crate) async fn run_evacuation(relay: Rc<Relay>) {
     loop {
-        sleep(LOOK_EACH).await;
-        relay.look_at_evacuated();
+        sleep(CHECK_INTERVAL).await;
+        relay.update_evacuation_progress();
     }
 }
 
--- a/components/relay/src/watch/evacuation_tests.rs
+++ b/components/relay/src/watch/evacuation_tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use prelude::Version;
 
-fn changed(begun: &[&str], ended: &[&str]) -> Changed {
+fn changed(begun: &[&str], ended: &[&str]) -> EvacuationDiff {
     let owned = |names: &[&str]| names.iter().map(|name| (*name).into()).collect();
-    Changed {
+    EvacuationDiff {
         begun: owned(begun),
         ended: owned(ended),
     }
@@ -12,13 +12,13 @@
 #[test]
 fn says_what_begins_and_what_ends() {
     let mut evacuation = Evacuation::default();
-    let begun = evacuation.change(7, |known| known.ordered("east", true, Version::new(0, 3)));
+    let begun = evacuation.update(7, |known| known.ordered("east", true, Version::new(0, 3)));
     assert_eq!(begun, Some(changed(&["east"], &[])));
     assert_eq!(
-        evacuation.change(8, |known| known.ordered("east", true, Version::new(0, 4))),
+        evacuation.update(8, |known| known.ordered("east", true, Version::new(0, 4))),
         None
     );
-    let both = evacuation.change(9, |known| {
+    let both = evacuation.update(9, |known| {
         known.read(["west".into()].into(), Version::new(0, 5))
     });
     assert_eq!(both, Some(changed(&["west"], &["east"])));
@@ -27,7 +27,7 @@
 #[test]
 fn an_evacuation_that_goes_on_keeps_its_time() {
     let mut evacuation = Evacuation::default();
-    evacuation.change(7, |known| known.ordered("east", true, Version::new(0, 3)));
-    evacuation.change(99, |known| known.ordered("west", true, Version::new(0, 4)));
+    evacuation.update(7, |known| known.ordered("east", true, Version::new(0, 3)));
+    evacuation.update(99, |known| known.ordered("west", true, Version::new(0, 4)));
     assert_eq!(evacuation.evacuated["east"].since_ms, 7);
 }
--- a/components/relay/src/watch/life.rs
+++ b/components/relay/src/watch/incarnation.rs
@@ -1,14 +1,14 @@
 //! One life of a target as its entries tell of it: how it begins, goes on and is over.
 
 use crate::rate_limit::state::TargetRateLimit;
-use crate::watch::targets::{Belief, Target};
+use crate::watch::targets::{Target, TargetState};
 use policy::{OutlierEjection, Probation, RetryAfterBackoff, Warmup};
 use prelude::DataCentreId;
 use routing::{TargetEntry, TargetPhase};
 
 /// A target that will be cold for so much longer than was known has turned cold anew; what is less is the spread of
 /// its own word.
-const COLD_LONGER_MS: u64 = 500;
+const COLD_EXTENSION_MIN_MS: u64 = 500;
 
 impl Target {
     /// A life of which nothing is known but its entry.
@@ -18,9 +18,9 @@
         let mut target = Self {
             id: entry.life().id(),
             data_centre: DataCentreId::from_name(&entry.data_centre),
-            belief: match leaves {
-                true => Belief::Leaving,
-                false => Belief::Ready,
+            state: match leaves {
+                true => TargetState::Leaving,
+                false => TargetState::Ready,
             },
             missing: None,
             cold_until_ms: now_ms + u64::from(entry.cold_left_ms),
@@ -30,55 +30,55 @@
             load: None,
             backoff: RetryAfterBackoff::default(),
             rate_limit: TargetRateLimit::default(),
-            suspicion: OutlierEjection::default(),
-            trial: Probation::default(),
+            outlier: OutlierEjection::default(),
+            probation: Probation::default(),
             full_until_ms: 0,
-            leaves_by_word: leaves && !says_so,
-            says_it_leaves: false,
-            left: leaves,
+            leaving_reported: leaves && !says_so,
+            announced_leaving: false,
+            was_leaving: leaves,
             entry,
         };
-        target.tell_phase();
+        target.sync_entry_phase();
         target
     }
 
     /// Has its entry say what is believed, so that peers are told the same.
-    pub(super) fn tell_phase(&mut self) {
-        if self.belief == Belief::Leaving {
+    pub(super) fn sync_entry_phase(&mut self) {
+        if self.state == TargetState::Leaving {
             self.entry.phase = TargetPhase::Leaving;
         }
     }
 
     /// Takes a newer entry of this life in. Says whether it turned cold by that.
-    pub(super) fn renew(&mut self, entry: TargetEntry, now_ms: u64) -> bool {
+    pub(super) fn update_entry(&mut self, entry: TargetEntry, now_ms: u64) -> bool {
         let leaving = entry.phase == TargetPhase::Leaving;
-        let stays_left = self.left && (entry.born_ms.is_some() || self.says_it_leaves);
-        let vanished = self.belief == Belief::Gone;
+        let stays_left = self.was_leaving && (entry.born_ms.is_some() || self.announced_leaving);
+        let vanished = self.state == TargetState::Gone;
         // A life that was seen to leave never takes work again; one that vanished may come back,
         // as the platform drops entries while its store is in trouble.
-        self.belief = match (self.belief, leaving || stays_left) {
-            (Belief::Leaving, _) | (_, true) => Belief::Leaving,
-            _ => Belief::Ready,
+        self.state = match (self.state, leaving || stays_left) {
+            (TargetState::Leaving, _) | (_, true) => TargetState::Leaving,
+            _ => TargetState::Ready,
         };
         self.missing = None;
-        self.leaves_by_word = !leaving && (self.leaves_by_word || (vanished && stays_left));
-        self.left = self.belief == Belief::Leaving;
+        self.leaving_reported = !leaving && (self.leaving_reported || (vanished && stays_left));
+        self.was_leaving = self.state == TargetState::Leaving;
         let cold_until_ms = now_ms + u64::from(entry.cold_left_ms);
         let turned_cold =
-            entry.cold_left_ms > 0 && cold_until_ms > self.cold_until_ms + COLD_LONGER_MS;
+            entry.cold_left_ms > 0 && cold_until_ms > self.cold_until_ms + COLD_EXTENSION_MIN_MS;
         if turned_cold {
             self.cold_until_ms = cold_until_ms;
             self.warmup = Warmup::new(rand::random(), now_ms);
         }
         self.entry = entry;
-        self.tell_phase();
+        self.sync_entry_phase();
         turned_cold
     }
 
     /// Notes that a new life has begun under its name, and says whether that is news of it.
-    pub(super) fn is_over(&mut self) -> bool {
-        let was = std::mem::replace(&mut self.belief, Belief::Gone);
+    pub(super) fn mark_gone(&mut self) -> bool {
+        let was = std::mem::replace(&mut self.state, TargetState::Gone);
         self.missing = None;
-        was != Belief::Gone
+        was != TargetState::Gone
     }
 }
--- a/components/relay/src/watch/index.rs
+++ b/components/relay/src/watch/index.rs
@@ -12,9 +12,9 @@
     /// Those whose entries are missing in a store that has just come back.
     pub missing: BTreeSet<TargetSlot>,
     /// Those that failed a generation, on the box that dispatches to them.
-    pub on_trial: BTreeSet<TargetSlot>,
+    pub on_probation: BTreeSet<TargetSlot>,
     /// Those of which something holds for a time: they are cold, on trial, or failed this box.
-    pub passing: BTreeSet<TargetSlot>,
+    pub transient: BTreeSet<TargetSlot>,
     /// Those that asked this box for a pause.
     pub backing_off: BTreeSet<TargetSlot>,
     /// Those that announce a rate limit.
@@ -28,18 +28,18 @@
         let service = target.entry.service.clone();
         self.by_service.entry(service).or_default().insert(slot);
         if target.entry.cold_left_ms > 0 {
-            self.passing.insert(slot);
+            self.transient.insert(slot);
         }
-        self.note_leaving(slot, target);
+        self.update_leaving(slot, target);
     }
 
     pub fn remove(&mut self, slot: TargetSlot, service: &str) {
-        self.moved_from(slot, service);
+        self.remove_from_service(slot, service);
         for set in [
             &mut self.leaving,
             &mut self.missing,
-            &mut self.on_trial,
-            &mut self.passing,
+            &mut self.on_probation,
+            &mut self.transient,
             &mut self.backing_off,
             &mut self.rate_limited,
             &mut self.in_use,
@@ -49,7 +49,7 @@
     }
 
     /// Notes that a target has another service than it had.
-    pub fn moved_from(&mut self, slot: TargetSlot, service: &str) {
+    pub fn remove_from_service(&mut self, slot: TargetSlot, service: &str) {
         if let Some(slots) = self.by_service.get_mut(service) {
             slots.remove(&slot);
             if slots.is_empty() {
@@ -58,8 +58,8 @@
         }
     }
 
-    pub fn note_leaving(&mut self, slot: TargetSlot, target: &Target) {
-        if target.leaves_by_word {
+    pub fn update_leaving(&mut self, slot: TargetSlot, target: &Target) {
+        if target.leaving_reported {
             self.leaving.insert(slot);
         }
     }
--- a/components/relay/src/watch/listing.rs
+++ b/components/relay/src/watch/listing.rs
@@ -1,13 +1,13 @@
-//! How the store's words on lives are taken in: entries and lists. A word of a former life changes
+//! How the store's words on lives are taken in: entries and lists. A word of a previous life changes
 //! nothing, however late it comes and whatever its version is.
 
-use crate::watch::pasts::Past;
-use crate::watch::targets::{Belief, Change, Missing, Target, TargetBook, TargetSlot};
+use crate::watch::targets::{Change, Missing, Target, TargetRegistry, TargetSlot, TargetState};
+use crate::watch::tombstones::Tombstone;
 use prelude::Version;
 use routing::{TargetEntry, TargetLife, TargetPhase};
 use std::collections::HashSet;
 
-impl TargetBook {
+impl TargetRegistry {
     /// The newest life under a name.
     pub(super) fn newest(&self, instance: &str) -> Option<(TargetSlot, &Target)> {
         let slot = *self.by_instance.get(instance)?;
@@ -15,134 +15,144 @@
     }
 
     /// What is known of a name whose lives are not listed any more.
-    pub(super) fn past_of(&self, life: &TargetLife) -> Past {
+    pub(super) fn tombstone_of(&self, life: &TargetLife) -> Tombstone {
         match life.born_ms {
-            Some(_) => self.pasts.of(&life.instance),
+            Some(_) => self.tombstones.get(&life.instance),
             // Where names are not used again, a name says all.
-            None => Past {
-                born_ms: self.pasts.of(&life.instance).born_ms,
-                ..Past::default()
+            None => Tombstone {
+                born_ms: self.tombstones.get(&life.instance).born_ms,
+                ..Tombstone::default()
             },
         }
     }
 
-    pub(super) fn hear(&mut self, life: &TargetLife, leaves: bool) {
+    pub(super) fn record_incarnation(&mut self, life: &TargetLife, leaves: bool) {
         if life.born_ms.is_some() {
-            self.pasts.heard(life, leaves);
+            self.tombstones.record_incarnation(life, leaves);
         }
     }
 
     /// Takes the entry of one target in.
-    pub fn listed(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
+    pub fn apply_entry(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
         let life = entry.life();
-        let past = self.past_of(&life);
-        if life.born_ms < past.born_ms || self.may_be_copied(&entry, now_ms) {
+        let tombstone = self.tombstone_of(&life);
+        if life.born_ms < tombstone.born_ms || self.may_be_stale(&entry, now_ms) {
             return None;
         }
         let newest = self.newest(&life.instance);
         let known = newest.map(|(slot, target)| (slot, target.entry.born_ms));
         match known {
             Some((_, born_ms)) if life.born_ms < born_ms => None,
-            Some((slot, born_ms)) if life.born_ms == born_ms => self.renewed(slot, entry, now_ms),
-            _ if entry.version < past.unlisted_at => {
-                self.hear(&life, entry.phase == TargetPhase::Leaving);
-                self.over(&life)
+            Some((slot, born_ms)) if life.born_ms == born_ms => {
+                self.apply_newer_entry(slot, entry, now_ms)
             }
-            Some((former, _)) => {
-                let was_known = self.targets.get_mut(former).is_some_and(Target::is_over);
-                let came = self.came(entry, now_ms);
+            _ if entry.version < tombstone.unlisted_at => {
+                self.record_incarnation(&life, entry.phase == TargetPhase::Leaving);
+                self.end_older_incarnation(&life)
+            }
+            Some((previous, _)) => {
+                let was_known = self
+                    .targets
+                    .get_mut(previous)
+                    .is_some_and(Target::mark_gone);
+                let came = self.add_target(entry, now_ms);
                 let slot = *self.by_instance.get(&life.instance)?;
                 match was_known {
-                    true => Some(Change::Restarted { former, slot }),
+                    true => Some(Change::Restarted { previous, slot }),
                     false => came,
                 }
             }
-            None => self.came(entry, now_ms),
+            None => self.add_target(entry, now_ms),
         }
     }
 
-    fn renewed(&mut self, slot: TargetSlot, entry: TargetEntry, now_ms: u64) -> Option<Change> {
+    fn apply_newer_entry(
+        &mut self,
+        slot: TargetSlot,
+        entry: TargetEntry,
+        now_ms: u64,
+    ) -> Option<Change> {
         let version = entry.version;
         let target = self.targets.get_mut(slot)?;
         if version < target.entry.version {
             return None;
         }
-        let was = target.belief;
+        let was = target.state;
         let service = target.entry.service.clone();
-        let turned_cold = target.renew(entry, now_ms);
-        let now = target.belief;
-        self.entry_changed(slot, &service);
-        if was == now && !(turned_cold && now == Belief::Ready) {
+        let turned_cold = target.update_entry(entry, now_ms);
+        let now = target.state;
+        self.reindex(slot, &service);
+        if was == now && !(turned_cold && now == TargetState::Ready) {
             return None;
         }
         self.changed_at = self.changed_at.max(version);
         Some(match now {
-            Belief::Ready if was == now => Change::Cold(slot),
-            Belief::Ready => Change::Came(slot),
-            _ => Change::Leaves(slot),
+            TargetState::Ready if was == now => Change::TurnedCold(slot),
+            TargetState::Ready => Change::Added(slot),
+            _ => Change::Leaving(slot),
         })
     }
 
-    fn came(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
+    fn add_target(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
         let life = entry.life();
         self.changed_at = self.changed_at.max(entry.version);
-        let past = self.past_of(&life);
-        let left = past.left && past.born_ms == life.born_ms;
+        let tombstone = self.tombstone_of(&life);
+        let left = tombstone.was_leaving && tombstone.born_ms == life.born_ms;
         let target = Target::new(entry, left, now_ms);
-        let belief = target.belief;
+        let state = target.state;
         let slot = self.insert(target);
-        Some(match belief {
-            Belief::Leaving => Change::Leaves(slot),
-            _ => Change::Came(slot),
+        Some(match state {
+            TargetState::Leaving => Change::Leaving(slot),
+            _ => Change::Added(slot),
         })
     }
 
     /// Notes that a life was heard of that is newer than what is kept under its name.
-    pub(super) fn over(&mut self, life: &TargetLife) -> Option<Change> {
+    pub(super) fn end_older_incarnation(&mut self, life: &TargetLife) -> Option<Change> {
         let (slot, target) = self.newest(&life.instance)?;
         if target.entry.born_ms >= life.born_ms {
             return None;
         }
-        let was_known = self.targets.get_mut(slot).is_some_and(Target::is_over);
-        was_known.then_some(Change::Went(slot))
+        let was_known = self.targets.get_mut(slot).is_some_and(Target::mark_gone);
+        was_known.then_some(Change::Removed(slot))
     }
 
     /// Notes that no target of a name is listed any more.
-    pub fn unlisted(&mut self, instance: &str, version: Version) -> Option<Change> {
-        self.pasts.unlisted(instance, version);
+    pub fn unlist(&mut self, instance: &str, version: Version) -> Option<Change> {
+        self.tombstones.record_unlisted(instance, version);
         let (slot, _) = self.newest(instance)?;
         let target = self.targets.get_mut(slot)?;
-        if target.belief == Belief::Gone || version < target.entry.version {
+        if target.state == TargetState::Gone || version < target.entry.version {
             return None;
         }
-        target.belief = Belief::Gone;
+        target.state = TargetState::Gone;
         target.missing = None;
         target.entry.version = version;
         self.changed_at = self.changed_at.max(version);
-        Some(Change::Went(slot))
+        Some(Change::Removed(slot))
     }
 
     /// Notes that a life is listed no more. A newer one under its name is not concerned.
-    pub fn life_unlisted(&mut self, life: &TargetLife, version: Version) -> Option<Change> {
-        self.hear(life, false);
+    pub fn unlist_incarnation(&mut self, life: &TargetLife, version: Version) -> Option<Change> {
+        self.record_incarnation(life, false);
         let newest = self.newest(&life.instance).map(|(_, t)| t.entry.born_ms);
-        let newest = newest.unwrap_or_else(|| self.past_of(life).born_ms);
+        let newest = newest.unwrap_or_else(|| self.tombstone_of(life).born_ms);
         match life.born_ms < newest {
             true => None,
             false => {
-                let went = self.unlisted(&life.instance, version);
-                went.or_else(|| self.over(life))
+                let went = self.unlist(&life.instance, version);
+                went.or_else(|| self.end_older_incarnation(life))
             }
         }
     }
 
     /// Notes that the entry of a target that takes work is missing in a store that has just come back, or that it is
     /// listed no more.
-    pub fn missed(&mut self, instance: &str, missing: Missing) -> Option<Change> {
+    pub fn mark_missing(&mut self, instance: &str, missing: Missing) -> Option<Change> {
         let (slot, _) = self.newest(instance)?;
         let target = self.targets.get_mut(slot)?;
-        if target.belief != Belief::Ready {
-            return self.unlisted(instance, missing.version);
+        if target.state != TargetState::Ready {
+            return self.unlist(instance, missing.version);
         }
         target.missing = target.missing.or(Some(missing));
         self.index.missing.insert(slot);
@@ -150,12 +160,12 @@
     }
 
     /// The names whose entries are still missing after the time that they had, with the version of that.
-    pub fn still_missing(&mut self, now_ms: u64) -> Vec<(Box<str>, Version)> {
+    pub fn expired_missing(&mut self, now_ms: u64) -> Vec<(Box<str>, Version)> {
         let targets = &self.targets;
         let is_missing =
             |slot: &TargetSlot| targets.get(*slot).is_some_and(|t| t.missing.is_some());
         self.index.missing.retain(is_missing);
-        let missing = self.those(self.index.missing.iter().copied());
+        let missing = self.resolve(self.index.missing.iter().copied());
         let missing = missing.filter_map(|(_, target)| {
             let missing = target
                 .missing
@@ -174,12 +184,12 @@
         missing_until_ms: Option<u64>,
         now_ms: u64,
     ) -> Vec<Change> {
-        self.replace_part(entries, &|_| true, version, missing_until_ms, now_ms)
+        self.replace_subset(entries, &|_| true, version, missing_until_ms, now_ms)
     }
 
-    /// The same for a part of the list: the targets whose names `is_in`. A name that is listed with a former life only
+    /// The same for a part of the list: the targets whose names `is_in`. A name that is listed with a previous life only
     /// is not missing: its newest life is as it was.
-    pub(crate) fn replace_part(
+    pub(crate) fn replace_subset(
         &mut self,
         entries: Vec<TargetEntry>,
         is_in: &impl Fn(&str) -> bool,
@@ -192,7 +202,7 @@
         let listed: HashSet<Box<str>> = entries.iter().map(|e| e.instance.clone()).collect();
         let mut changes: Vec<Change> = Vec::new();
         for entry in entries {
-            changes.extend(self.listed(entry, now_ms));
+            changes.extend(self.apply_entry(entry, now_ms));
         }
         let is_missing = |instance: &str| is_in(instance) && !listed.contains(instance);
         let missing: Vec<Box<str>> = self
@@ -203,8 +213,8 @@
             .collect();
         for instance in missing {
             changes.extend(match missing_until_ms {
-                Some(until_ms) => self.missed(&instance, Missing { until_ms, version }),
-                None => self.unlisted(&instance, version),
+                Some(until_ms) => self.mark_missing(&instance, Missing { until_ms, version }),
+                None => self.unlist(&instance, version),
             });
         }
         self.current_to = self.current_to.max(version);
--- a/components/relay/src/watch/listing_order_tests.rs
+++ b/components/relay/src/watch/listing_order_tests.rs
@@ -24,7 +24,7 @@
     Restart,
     Remove,
     Garble,
-    /// A former process writes, late.
+    /// A previous process writes, late.
     LateWrite(u64),
 }
 
@@ -84,7 +84,7 @@
 /// A book, and what it was told so far.
 struct Heard {
     written: Vec<Write>,
-    book: TargetBook,
+    book: TargetRegistry,
     /// Targets of open requests.
     open: Vec<TargetSlot>,
     newest: u64,
@@ -95,7 +95,7 @@
     fn new(written: &[Write]) -> Self {
         Self {
             written: written.to_vec(),
-            book: TargetBook::default(),
+            book: TargetRegistry::default(),
             open: Vec::new(),
             newest: 0,
             left: HashSet::new(),
@@ -134,7 +134,7 @@
     }
 
     /// The life that held the name last before a change, as a peer names it.
-    fn former(&self, at: usize) -> TargetLife {
+    fn previous(&self, at: usize) -> TargetLife {
         let before = self.written[..at].iter().filter_map(|write| match write {
             Write::Put { born, .. } => Some(*born),
             _ => None,
@@ -156,9 +156,9 @@
     fn act(&mut self, changes: impl IntoIterator<Item = Change>) {
         for change in changes {
             match change {
-                Change::Leaves(slot) | Change::Went(slot) => self.book.sweep(slot),
-                Change::Restarted { former, .. } => self.book.sweep(former),
-                Change::Came(_) | Change::Cold(_) => {}
+                Change::Leaving(slot) | Change::Removed(slot) => self.book.remove_if_idle(slot),
+                Change::Restarted { previous, .. } => self.book.remove_if_idle(previous),
+                Change::Added(_) | Change::TurnedCold(_) => {}
             }
         }
     }
@@ -171,8 +171,8 @@
                 let told = self.holder(at);
                 self.heard_of(told.as_ref());
                 let change = match told {
-                    Some(told) => self.book.listed(told, 0),
-                    None => self.book.unlisted(NAME, at_revision(Self::revision(at))),
+                    Some(told) => self.book.apply_entry(told, 0),
+                    None => self.book.unlist(NAME, at_revision(Self::revision(at))),
                 };
                 self.act(change);
             }
@@ -181,12 +181,12 @@
                 let told = self.holder(at);
                 self.heard_of(told.as_ref());
                 let change = match told {
-                    Some(told) => self.book.listed(told, 0),
+                    Some(told) => self.book.apply_entry(told, 0),
                     None => {
-                        let former = self.former(at);
-                        self.newest = self.newest.max(former.born_ms.unwrap());
+                        let previous = self.previous(at);
+                        self.newest = self.newest.max(previous.born_ms.unwrap());
                         self.book
-                            .life_unlisted(&former, at_revision(Self::revision(at)))
+                            .unlist_incarnation(&previous, at_revision(Self::revision(at)))
                     }
                 };
                 self.act(change);
@@ -195,31 +195,31 @@
             Word::Leaving(born) => {
                 self.newest = self.newest.max(born);
                 self.left.insert(born);
-                let changes = self.book.told_leaving(&[life(born)]);
+                let changes = self.book.apply_leaving(&[life(born)]);
                 self.act(changes);
             }
             Word::Opened => {
                 if let Some(slot) = self.newest_slot() {
-                    self.book.opened(slot);
+                    self.book.record_open(slot);
                     self.open.push(slot);
                 }
             }
             Word::Closed(_) | Word::Answered(_) | Word::Failed(_) if self.open.is_empty() => {}
             Word::Closed(at) => {
                 let slot = self.open.swap_remove(pick(at, self.open.len()));
-                self.book.closed(slot);
+                self.book.record_close(slot);
             }
             Word::Answered(at) => {
                 let slot = self.open[pick(at, self.open.len())];
                 if let Some(target) = self.book.get(slot) {
                     self.left.insert(target.entry.born_ms.unwrap());
                 }
-                let change = self.book.leaves(slot);
+                let change = self.book.mark_leaving(slot);
                 self.act(change);
             }
             Word::Failed(at) => {
                 let slot = self.open[pick(at, self.open.len())];
-                self.book.get_mut(slot).unwrap().suspicion.record_failure(0);
+                self.book.get_mut(slot).unwrap().outlier.record_failure(0);
             }
         }
     }
@@ -230,8 +230,8 @@
             Word::Event(at) => self.holder(at % self.written.len())?.born_ms,
             Word::Told(at) => {
                 let at = at % self.written.len();
-                let former = || self.former(at).born_ms;
-                self.holder(at).map_or_else(former, |told| told.born_ms)
+                let previous = || self.previous(at).born_ms;
+                self.holder(at).map_or_else(previous, |told| told.born_ms)
             }
             Word::Leaving(born) => Some(born),
             Word::Closed(at) | Word::Answered(at) | Word::Failed(at) => {
@@ -261,7 +261,7 @@
         let takers = self.takers();
         prop_assert!(takers.len() <= 1, "{takers:?} take work at one time");
         for born in takers {
-            prop_assert_eq!(born, self.newest, "a former life takes work");
+            prop_assert_eq!(born, self.newest, "a previous life takes work");
             prop_assert!(!self.left.contains(&born), "{} left, and takes work", born);
         }
         Ok(())
@@ -270,18 +270,18 @@
     /// Takes in what a box with another book tells that differs from this one: one message has all of it.
     fn take_from(&mut self, other: &Self, revision: u64) {
         if let Some(patch) = other.book.patch_for(&self.book.summary(), 0) {
-            let changes = self.book.patch(patch, at_revision(revision), 0);
+            let changes = self.book.apply_patch(patch, at_revision(revision), 0);
             self.act(changes);
         }
-        let changes = self.book.told_leaving(&other.book.leaving());
+        let changes = self.book.apply_leaving(&other.book.leaving());
         self.act(changes);
     }
 
     /// What is listed, with the lives and whether they leave.
-    fn listed(&self) -> Vec<(Box<str>, Option<u64>, Belief)> {
+    fn listed(&self) -> Vec<(Box<str>, Option<u64>, TargetState)> {
         let targets = self.book.all().map(|(_, target)| target);
-        let listed = targets.filter(|target| target.belief != Belief::Gone);
-        let row = |t: &Target| (t.entry.instance.clone(), t.entry.born_ms, t.belief);
+        let listed = targets.filter(|target| target.state != TargetState::Gone);
+        let row = |t: &Target| (t.entry.instance.clone(), t.entry.born_ms, t.state);
         let mut rows: Vec<_> = listed.map(row).collect();
         rows.sort_by(|a, b| (&a.0, a.1).cmp(&(&b.0, b.1)));
         rows
@@ -323,8 +323,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
-    /// Whatever the order of words, no life that left and no former life takes work, words of former lives change
-    /// nothing of the newest, and after the last list its belief is what was said of it.
+    /// Whatever the order of words, no life that left and no previous life takes work, words of previous lives change
+    /// nothing of the newest, and after the last list its state is what was said of it.
     #[test]
     fn the_newest_life_is_believed_right_whatever_the_order(deeds in deeds(), words in words()) {
         let mut heard = Heard::new(&writes(&deeds));
@@ -346,7 +346,7 @@
                 let takes = !heard.left.contains(&heard.newest);
                 prop_assert_eq!(!heard.takers().is_empty(), takes);
             }
-            // The newest life was overwritten by a former one: it is as it was.
+            // The newest life was overwritten by a previous one: it is as it was.
             Some(_) => {}
         }
     }
--- a/components/relay/src/watch/reconcile.rs
+++ b/components/relay/src/watch/reconcile.rs
@@ -2,7 +2,7 @@
 //! their names, and only buckets whose hashes differ are sent (range-based set reconciliation; compare the hash trees
 //! of DeCandia et al., "Dynamo", SOSP 2007, with one level).
 
-use crate::watch::targets::{Belief, Change, Target, TargetBook};
+use crate::watch::targets::{Change, Target, TargetRegistry, TargetState};
 use peers::{TargetChanges, TargetList, TargetPatch, TargetSummary};
 use prelude::Version;
 use routing::TargetEntry;
@@ -23,17 +23,17 @@
 fn hash_of(target: &Target) -> u64 {
     // The key of a life names it and its birth.
     let name = target.id.0;
-    match target.belief {
-        Belief::Leaving => !name.rotate_left(1),
+    match target.state {
+        TargetState::Leaving => !name.rotate_left(1),
         _ => name.rotate_left(2),
     }
 }
 
 fn is_listed(target: &Target) -> bool {
-    target.belief != Belief::Gone
+    target.state != TargetState::Gone
 }
 
-impl TargetBook {
+impl TargetRegistry {
     fn bucket_hashes(&self, count: usize) -> Vec<u64> {
         let mut hashes = vec![0; count];
         for (_, target) in self.all().filter(|(_, target)| is_listed(target)) {
@@ -49,19 +49,19 @@
     }
 
     /// What a list that was read anew showed, for boxes that know all that came before `after`.
-    pub fn told_anew(&self, changes: &[Change], after: Version, now_ms: u64) -> TargetChanges {
+    pub fn changes_since(&self, changes: &[Change], after: Version, now_ms: u64) -> TargetChanges {
         let (mut listed, mut unlisted) = (Vec::new(), Vec::new());
         for change in changes {
-            let (Change::Came(slot)
-            | Change::Leaves(slot)
-            | Change::Went(slot)
-            | Change::Cold(slot)
+            let (Change::Added(slot)
+            | Change::Leaving(slot)
+            | Change::Removed(slot)
+            | Change::TurnedCold(slot)
             | Change::Restarted { slot, .. }) = change;
             match self.get(*slot) {
                 Some(gone) if !is_listed(gone) => {
                     unlisted.push((gone.entry.life(), gone.entry.version));
                 }
-                Some(target) => listed.push(target.told(now_ms)),
+                Some(target) => listed.push(target.entry_at(now_ms)),
                 None => {}
             }
         }
@@ -75,7 +75,7 @@
 
     /// Takes in what another box tells, which knows all changes up to `changed_at` and the list as of `current_to`. Nothing
     /// where this box lacks what came before.
-    pub fn take_told(
+    pub fn apply_changes(
         &mut self,
         told: TargetChanges,
         changed_at: Version,
@@ -87,10 +87,10 @@
         }
         let mut changes = Vec::new();
         for entry in told.listed.entries() {
-            changes.extend(self.listed(entry, now_ms));
+            changes.extend(self.apply_entry(entry, now_ms));
         }
         for (life, version) in told.unlisted {
-            changes.extend(self.life_unlisted(&life, version));
+            changes.extend(self.unlist_incarnation(&life, version));
         }
         if told.root.is_none_or(|root| root == self.root()) {
             self.changed_at = self.changed_at.max(changed_at);
@@ -128,7 +128,7 @@
         };
         let targets = self.all().map(|(_, target)| target);
         let listed = targets.filter(|target| is_in(target));
-        let listed: Vec<TargetEntry> = listed.map(|target| target.told(now_ms)).collect();
+        let listed: Vec<TargetEntry> = listed.map(|target| target.entry_at(now_ms)).collect();
         Some(TargetPatch {
             bucket_count: count as u32,
             buckets: buckets.into_iter().map(|at| at as u32).collect(),
@@ -137,11 +137,16 @@
     }
 
     /// Takes another box's buckets in, as its list was at `version`.
-    pub fn patch(&mut self, patch: TargetPatch, version: Version, now_ms: u64) -> Vec<Change> {
+    pub fn apply_patch(
+        &mut self,
+        patch: TargetPatch,
+        version: Version,
+        now_ms: u64,
+    ) -> Vec<Change> {
         let count = (patch.bucket_count as usize).clamp(1, BUCKETS_MAX);
         let buckets: HashSet<usize> = patch.buckets.iter().map(|at| *at as usize).collect();
         let is_in = |instance: &str| buckets.contains(&bucket_of(instance, count));
-        self.replace_part(patch.listed.entries(), &is_in, version, None, now_ms)
+        self.replace_subset(patch.listed.entries(), &is_in, version, None, now_ms)
     }
 }
 
--- a/components/relay/src/watch/reconcile_tests.rs
+++ b/components/relay/src/watch/reconcile_tests.rs
@@ -16,8 +16,8 @@
     }
 }
 
-fn book(listed: &[(usize, bool)], revision: u64) -> TargetBook {
-    let mut book = TargetBook::default();
+fn book(listed: &[(usize, bool)], revision: u64) -> TargetRegistry {
+    let mut book = TargetRegistry::default();
     let phase = |leaves| match leaves {
         true => TargetPhase::Leaving,
         false => TargetPhase::Ready,
@@ -27,7 +27,7 @@
     book
 }
 
-fn names(book: &TargetBook) -> Vec<Box<str>> {
+fn names(book: &TargetRegistry) -> Vec<Box<str>> {
     let mut names: Vec<Box<str>> = book.entries(0).into_iter().map(|e| e.instance).collect();
     names.sort();
     names
@@ -37,10 +37,10 @@
 fn a_box_that_knows_nothing_gets_the_whole_list() {
     let all: Vec<(usize, bool)> = (0..200).map(|at| (at, false)).collect();
     let known = book(&all, 500);
-    let mut new = TargetBook::default();
+    let mut new = TargetRegistry::default();
     let patch = known.patch_for(&new.summary(), 0).unwrap();
     assert_eq!(patch.listed.len(), 200);
-    new.patch(patch, Version::new(0, 500), 0);
+    new.apply_patch(patch, Version::new(0, 500), 0);
     assert_eq!(names(&new), names(&known));
 }
 
@@ -73,22 +73,22 @@
         };
         let (mut mine, theirs) = (book(&listed(&mine), 1_000), book(&listed(&theirs), 2_000));
         if let Some(patch) = theirs.patch_for(&mine.summary(), 0) {
-            mine.patch(patch, Version::new(0, 2_000), 0);
+            mine.apply_patch(patch, Version::new(0, 2_000), 0);
         }
         prop_assert_eq!(names(&mine), names(&theirs));
     }
 }
 
 /// A box that watches reads its list anew, with what it tells; and another box, which takes that in.
-fn told_anew(watcher: &mut TargetBook, other: &mut TargetBook, now: &[(usize, bool)]) {
+fn changes_since(watcher: &mut TargetRegistry, other: &mut TargetRegistry, now: &[(usize, bool)]) {
     let entries = now.iter().map(|(at, leaves)| match leaves {
         true => entry(*at, TargetPhase::Leaving),
         false => entry(*at, TargetPhase::Ready),
     });
     let after = watcher.changed_at;
     let changes = watcher.replace(entries.collect(), Version::new(0, 5_000), None, 0);
-    let told = watcher.told_anew(&changes, after, 0);
-    other.take_told(told, watcher.changed_at, watcher.current_to, 0);
+    let told = watcher.changes_since(&changes, after, 0);
+    other.apply_changes(told, watcher.changed_at, watcher.current_to, 0);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let before: Vec<(usize, bool)> = (0..200).map(|at| (at, false)).collect();
     let (mut watcher, mut other) = (book(&before, 500), book(&before, 400));
     let now: Vec<(usize, bool)> = (3..210).map(|at| (at, at < 6)).collect();
-    told_anew(&mut watcher, &mut other, &now);
+    changes_since(&mut watcher, &mut other, &now);
     assert_eq!(names(&other), names(&watcher));
     assert_eq!(other.root(), watcher.root());
     assert_eq!(other.changed_at, watcher.changed_at);
@@ -108,12 +108,12 @@
     let before: Vec<(usize, bool)> = (0..200).map(|at| (at, false)).collect();
     let mut watcher = book(&before, 500);
     let mut other = book(&before, 500);
-    other.listed(entry(900, TargetPhase::Ready), 0);
+    other.apply_entry(entry(900, TargetPhase::Ready), 0);
     let now: Vec<(usize, bool)> = (0..201).map(|at| (at, false)).collect();
-    told_anew(&mut watcher, &mut other, &now);
+    changes_since(&mut watcher, &mut other, &now);
     assert!(other.current_to < watcher.current_to && other.changed_at < watcher.changed_at);
     // It asks then, and the difference is found.
     let patch = watcher.patch_for(&other.summary(), 0).unwrap();
-    other.patch(patch, watcher.current_to, 0);
+    other.apply_patch(patch, watcher.current_to, 0);
     assert_eq!(names(&other), names(&watcher));
 }
--- a/components/relay/src/watch/refused.rs
+++ b/components/relay/src/watch/refused.rs
@@ -13,7 +13,7 @@
 
 impl RefusedEntries {
     /// Notes that the bytes under a key were refused. Says whether that is new.
-    pub fn refused(&mut self, key: &str, value: &[u8]) -> bool {
+    pub fn record_refusal(&mut self, key: &str, value: &[u8]) -> bool {
         let hash = xxh3_64(value);
         if self.0.get(key) == Some(&hash) {
             return false;
@@ -26,7 +26,7 @@
     }
 
     /// Notes that nothing refused lies under a key any more.
-    pub fn passed(&mut self, key: &str) {
+    pub fn clear(&mut self, key: &str) {
         self.0.remove(key);
     }
 }
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -8,7 +8,7 @@
 
 /// What a box believes of one life of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum TargetState {
     /// It takes new work.
     Ready,
     /// It serves what it has.
@@ -37,7 +37,7 @@
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Whether it takes new work.
-    pub belief: Belief,
+    pub state: TargetState,
     /// Its entry was missing when the store came back: it is gone if it is still missing then, as of that version.
     pub missing: Option<Missing>,
     /// Until when it is slow from its start.
@@ -55,21 +55,21 @@
     /// The rate limit that it announces.
     pub rate_limit: TargetRateLimit,
     /// Its latest failures.
-    pub suspicion: OutlierEjection,
+    pub outlier: OutlierEjection,
     /// Whether it may be given work after it failed some, on the box that dispatches to it.
-    pub trial: Probation,
+    pub probation: Probation,
     /// Until when it counts as full, by its own word.
     pub full_until_ms: u64,
     /// That it leaves is known from itself or from a box that it told; the store has not said so.
-    pub leaves_by_word: bool,
+    pub leaving_reported: bool,
     /// It said itself that it leaves, which no entry takes back.
-    pub says_it_leaves: bool,
+    pub announced_leaving: bool,
     /// It was seen to leave. Where lives name their births, it takes no work again even if it vanishes and comes back.
-    pub left: bool,
+    pub was_leaving: bool,
 }
 
 /// How long its word on its load counts.
-const LOAD_LIFE_MS: u64 = 1_000;
+const LOAD_VALID_MS: u64 = 1_000;
 /// What a target in another data centre must be emptier by, as a share of its slots.
 pub(crate) const FAR_SHARE: f64 = 0.3;
 /// Slots of a target that does not say how many it has.
@@ -94,7 +94,7 @@
         rate_per_s.is_none_or(|rate| target.warmup.allows(rate, self.boxes, now_ms))
     }
 
-    pub(super) fn sent(self, target: &mut Target, now_ms: u64) {
+    pub(super) fn record_send(self, target: &mut Target, now_ms: u64) {
         if self.rate_per_s.is_some() && now_ms < target.cold_until_ms {
             target.warmup.sent(now_ms);
         }
@@ -103,7 +103,7 @@
 
 impl Target {
     /// Its entry as others are told it, cold for what is left of that.
-    pub(super) fn told(&self, now_ms: u64) -> TargetEntry {
+    pub(super) fn entry_at(&self, now_ms: u64) -> TargetEntry {
         TargetEntry {
             cold_left_ms: self.cold_until_ms.saturating_sub(now_ms) as u32,
             ..self.entry.clone()
@@ -131,9 +131,9 @@
         };
         let told = self
             .load
-            .filter(|(_, at_ms)| now_ms < at_ms + LOAD_LIFE_MS)
+            .filter(|(_, at_ms)| now_ms < at_ms + LOAD_VALID_MS)
             .map_or(0.0, |(load, at_ms)| {
-                let age = (now_ms - at_ms) as f64 / LOAD_LIFE_MS as f64;
+                let age = (now_ms - at_ms) as f64 / LOAD_VALID_MS as f64;
                 f64::from(load.running + load.waiting) * (1.0 - age)
             });
         told.max(f64::from(self.open)) / slots
--- a/components/relay/src/watch/target_snapshot.rs
+++ b/components/relay/src/watch/target_snapshot.rs
@@ -19,19 +19,19 @@
 /// What begins the keys of its parts.
 const PREFIX: &str = "snapshots/targets/";
 /// Shorter lists are a page or two, and have none.
-const LISTED_MIN: usize = 1_000;
+const SNAPSHOT_TARGETS_MIN: usize = 1_000;
 /// Targets of one part: some 50 KB.
 const PART_TARGETS: usize = 2_048;
 /// Parts at the most: what one transaction takes.
 const PARTS_MAX: usize = 32;
 /// How often it is looked whether a snapshot is due.
-const LOOK_EACH: Duration = Duration::from_millis(1_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// While the list changes it is written this often. A box that starts uses what is so old until it is told more.
-const WRITE_EACH_MS: u64 = 10_000;
+const WRITE_INTERVAL_MS: u64 = 10_000;
 /// How long it lasts where nobody writes it again.
 const LEASE_S: u64 = 600;
 /// It is written again within this time, changed or not.
-const WRITE_AGAIN_MS: u64 = 240_000;
+const REWRITE_INTERVAL_MS: u64 = 240_000;
 
 /// One part.
 #[derive(Debug, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
 pub(crate) async fn run_snapshots(relay: Rc<Relay>) {
     let mut written = None;
     loop {
-        sleep(LOOK_EACH).await;
+        sleep(CHECK_INTERVAL).await;
         if !is_due(&relay, written.as_ref()) {
             continue;
         }
@@ -116,13 +116,13 @@
         return false;
     }
     let targets = relay.targets.borrow();
-    if targets.len() < LISTED_MIN {
+    if targets.len() < SNAPSHOT_TARGETS_MIN {
         return false;
     }
     written.is_none_or(|written| {
         let age_ms = relay.now_ms().saturating_sub(written.at_ms);
         let has_changed = written.changed_at != targets.changed_at;
-        (has_changed && age_ms >= WRITE_EACH_MS) || age_ms >= WRITE_AGAIN_MS
+        (has_changed && age_ms >= WRITE_INTERVAL_MS) || age_ms >= REWRITE_INTERVAL_MS
     })
 }
 
--- a/components/relay/src/watch/targets.rs
+++ b/components/relay/src/watch/targets.rs
@@ -2,9 +2,9 @@
 //! its lives, never for its address or name. How words on lives are taken in is in [`crate::watch::listing`].
 
 use crate::watch::index::TargetIndex;
-use crate::watch::pasts::Pasts;
-pub use crate::watch::target::{Belief, ColdRate, Missing, Target};
 pub(crate) use crate::watch::target::{COLD_SHARE, FAR_SHARE};
+pub use crate::watch::target::{ColdRate, Missing, Target, TargetState};
+use crate::watch::tombstones::Tombstones;
 use peers::EngineFault;
 use prelude::{DataCentreId, TargetId, Version};
 use rand::seq::IteratorRandom;
@@ -23,13 +23,13 @@
 
 /// All targets.
 #[derive(Debug, Default)]
-pub struct TargetBook {
+pub struct TargetRegistry {
     pub(super) targets: SlotMap<TargetSlot, Target>,
     pub(super) index: TargetIndex,
-    /// The newest life of each name. A former one is only found by its key.
+    /// The newest life of each name. A previous one is only found by its key.
     pub(super) by_instance: HashMap<Box<str>, TargetSlot>,
     pub(super) by_id: HashMap<TargetId, TargetSlot>,
-    pub(super) pasts: Pasts,
+    pub(super) tombstones: Tombstones,
     /// The store's version up to which everything is known.
     pub current_to: Version,
     /// The version of the last change that matters: a target came, leaves, or went.
@@ -42,30 +42,30 @@
     pub(super) known: bool,
     evacuated: HashSet<DataCentreId>,
     /// Targets that were looked at, each time counted.
-    looks: Cell<u64>,
+    checks: Cell<u64>,
 }
 
 /// What a change of the book means for the rest of the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A target may be used from now on.
-    Came(TargetSlot),
+    Added(TargetSlot),
     /// It takes no new work from now on.
-    Leaves(TargetSlot),
+    Leaving(TargetSlot),
     /// It is listed no more.
-    Went(TargetSlot),
+    Removed(TargetSlot),
     /// It takes work, and is slow for a time.
-    Cold(TargetSlot),
-    /// A new life has begun under the name of a former one, which is over.
+    TurnedCold(TargetSlot),
+    /// A new life has begun under the name of a previous one, which is over.
     Restarted {
         /// The life that is over.
-        former: TargetSlot,
+        previous: TargetSlot,
         /// The new life.
         slot: TargetSlot,
     },
 }
 
-impl TargetBook {
+impl TargetRegistry {
     /// One target.
     pub fn get(&self, slot: TargetSlot) -> Option<&Target> {
         self.targets.get(slot)
@@ -93,7 +93,7 @@
 
     /// Whether a target takes new work: every placement, send, copy and question goes by this.
     pub fn takes_work(&self, target: &Target) -> bool {
-        target.belief == Belief::Ready && !self.is_evacuated(target)
+        target.state == TargetState::Ready && !self.is_evacuated(target)
     }
 
     /// Whether any list of targets is known.
@@ -114,38 +114,47 @@
     /// All targets that are still listed, cold for what is left of that.
     pub fn entries(&self, now_ms: u64) -> Vec<TargetEntry> {
         let listed = self.all().map(|(_, target)| target);
-        let listed = listed.filter(|t| t.belief != Belief::Gone);
-        listed.map(|target| target.told(now_ms)).collect()
+        let listed = listed.filter(|t| t.state != TargetState::Gone);
+        listed.map(|target| target.entry_at(now_ms)).collect()
     }
 
     /// All targets.
     pub fn all(&self) -> impl Iterator<Item = (TargetSlot, &Target)> {
-        self.targets.iter().inspect(move |_| self.looked())
+        self.targets.iter().inspect(move |_| self.count_check())
     }
 
     /// How many targets were looked at, each time counted: what upkeep costs grows with it.
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    pub fn checks(&self) -> u64 {
+        self.checks.get()
     }
 
-    fn looked(&self) {
-        self.looks.set(self.looks.get() + 1);
+    fn count_check(&self) {
+        self.checks.set(self.checks.get() + 1);
     }
 
     /// The targets on trial that are to be asked now.
-    pub fn open_trials(&mut self, now_ms: u64) -> Vec<TargetSlot> {
+    pub fn due_probes(&mut self, now_ms: u64) -> Vec<TargetSlot> {
         let targets = &self.targets;
-        let is_on = |slot: &TargetSlot| targets.get(*slot).is_some_and(|t| t.trial.is_on(now_ms));
-        self.index.on_trial.retain(is_on);
+        let is_on = |slot: &TargetSlot| {
+            targets
+                .get(*slot)
+                .is_some_and(|t| t.probation.is_on(now_ms))
+        };
+        self.index.on_probation.retain(is_on);
         let open = |(_, target): &(TargetSlot, &Target)| {
-            self.takes_work(target) && target.trial.needs_probe(now_ms)
+            self.takes_work(target) && target.probation.needs_probe(now_ms)
         };
-        let tried = self.those(self.index.on_trial.iter().copied());
+        let tried = self.resolve(self.index.on_probation.iter().copied());
         tried.filter(open).map(|(slot, _)| slot).collect()
     }
 
     /// Notes that a target asked this box for a pause. Says whether it had not before.
-    pub(crate) fn asked_for_pause(&mut self, slot: TargetSlot, pause_ms: u64, now_ms: u64) -> bool {
+    pub(crate) fn record_retry_after(
+        &mut self,
+        slot: TargetSlot,
+        pause_ms: u64,
+        now_ms: u64,
+    ) -> bool {
         let Some(target) = self.targets.get_mut(slot) else {
             return false;
         };
@@ -162,7 +171,7 @@
         let targets = &self.targets;
         let is_on = |slot: &TargetSlot| targets.get(*slot).is_some_and(|t| t.backoff.is_on(now_ms));
         self.index.backing_off.retain(is_on);
-        let backing_off = self.those(self.index.backing_off.iter().copied());
+        let backing_off = self.resolve(self.index.backing_off.iter().copied());
         let of_service = backing_off.filter(|(_, target)| &*target.entry.service == service);
         of_service
             .filter_map(|(_, target)| Some((target.id, target.backoff.remaining_ms(now_ms)?)))
@@ -170,11 +179,11 @@
     }
 
     /// Notes that the rate limit of a target changed.
-    pub(crate) fn rate_limit_changed(&mut self, slot: TargetSlot) {
+    pub(crate) fn index_rate_limit(&mut self, slot: TargetSlot) {
         let Some(target) = self.targets.get(slot) else {
             return;
         };
-        self.index.passing.insert(slot);
+        self.index.transient.insert(slot);
         match target.rate_limit.announced.is_limited() {
             true => self.index.rate_limited.insert(slot),
             false => self.index.rate_limited.remove(&slot),
@@ -182,7 +191,7 @@
     }
 
     /// Targets with a rate limit: all, or so many drawn at random.
-    pub(crate) fn some_rate_limited(&self, count: usize) -> Vec<TargetSlot> {
+    pub(crate) fn sample_rate_limited(&self, count: usize) -> Vec<TargetSlot> {
         let limited = self.index.rate_limited.iter().copied();
         limited.choose_multiple(&mut rand::rng(), count)
     }
@@ -193,46 +202,46 @@
     }
 
     /// Notes that a target failed this box.
-    pub fn failed(&mut self, slot: TargetSlot, now_ms: u64) {
+    pub fn record_failure(&mut self, slot: TargetSlot, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
-            target.suspicion.record_failure(now_ms);
-            self.index.passing.insert(slot);
+            target.outlier.record_failure(now_ms);
+            self.index.transient.insert(slot);
         }
     }
 
     /// The targets of which something held for a time when this was asked last: what is over by now is told once.
-    pub fn take_passing(&mut self, now_ms: u64) -> Vec<TargetId> {
-        let passing = self.those(self.index.passing.iter().copied());
-        let ids = passing.map(|(_, target)| target.id).collect();
+    pub fn take_transient(&mut self, now_ms: u64) -> Vec<TargetId> {
+        let transient = self.resolve(self.index.transient.iter().copied());
+        let ids = transient.map(|(_, target)| target.id).collect();
         let targets = &self.targets;
         let holds = |target: &Target| {
             now_ms < target.cold_until_ms
-                || target.trial.is_on(now_ms)
-                || target.suspicion.is_ejected(now_ms)
+                || target.probation.is_on(now_ms)
+                || target.outlier.is_ejected(now_ms)
                 || target.rate_limit.announced.rate_per_s(now_ms).is_some()
         };
         let is_passing = |slot: &TargetSlot| targets.get(*slot).is_some_and(holds);
-        self.index.passing.retain(is_passing);
+        self.index.transient.retain(is_passing);
         ids
     }
 
     /// Whether more than half of the targets of a service that take work but for their trials are on trial.
-    pub fn most_on_trial(&self, service: &str, now_ms: u64) -> bool {
-        let is_ready = |(_, target): &(TargetSlot, &Target)| target.belief == Belief::Ready;
-        let tried = self.those(self.index.on_trial.iter().copied());
+    pub fn most_on_probation(&self, service: &str, now_ms: u64) -> bool {
+        let is_ready = |(_, target): &(TargetSlot, &Target)| target.state == TargetState::Ready;
+        let tried = self.resolve(self.index.on_probation.iter().copied());
         let of_service = tried.filter(|(_, target)| &*target.entry.service == service);
-        let on = of_service.filter(|(_, target)| target.trial.is_on(now_ms));
+        let on = of_service.filter(|(_, target)| target.probation.is_on(now_ms));
         let on = on.filter(is_ready).count();
         // Mostly there is none, and the others need not be counted.
         on > 0 && on * 2 > self.of_service(service).filter(is_ready).count()
     }
 
-    pub(super) fn those<'a>(
+    pub(super) fn resolve<'a>(
         &'a self,
         slots: impl Iterator<Item = TargetSlot> + 'a,
     ) -> impl Iterator<Item = (TargetSlot, &'a Target)> {
         let found = slots.filter_map(move |slot| Some((slot, self.targets.get(slot)?)));
-        found.inspect(move |_| self.looked())
+        found.inspect(move |_| self.count_check())
     }
 
     /// Takes a life of a target in.
@@ -244,15 +253,15 @@
         }
         self.by_instance.insert(instance, slot);
         self.by_id.insert(id, slot);
-        self.pasts.sized_for(self.targets.len());
+        self.tombstones.set_target_count(self.targets.len());
         slot
     }
 
     /// Takes what is found of a target in anew after its entry changed; it served `before`.
-    pub(super) fn entry_changed(&mut self, slot: TargetSlot, before: &str) {
+    pub(super) fn reindex(&mut self, slot: TargetSlot, before: &str) {
         if let Some(target) = self.targets.get(slot) {
             if &*target.entry.service != before {
-                self.index.moved_from(slot, before);
+                self.index.remove_from_service(slot, before);
             }
             self.index.add(slot, target);
         }
@@ -264,18 +273,23 @@
     }
 
     /// Notes that a target failed a generation, or was silent to one. Says whether that counts as a failure.
-    pub fn failed_generation(&mut self, slot: TargetSlot, fault: EngineFault, now_ms: u64) -> bool {
+    pub fn record_generation_failure(
+        &mut self,
+        slot: TargetSlot,
+        fault: EngineFault,
+        now_ms: u64,
+    ) -> bool {
         let Some(target) = self.targets.get_mut(slot) else {
             return false;
         };
-        self.index.on_trial.insert(slot);
-        self.index.passing.insert(slot);
+        self.index.on_probation.insert(slot);
+        self.index.transient.insert(slot);
         match fault {
             EngineFault::Broke => {
-                target.trial.record_failure(now_ms);
+                target.probation.record_failure(now_ms);
                 true
             }
-            EngineFault::Silent => target.trial.record_silence(now_ms),
+            EngineFault::Silent => target.probation.record_silence(now_ms),
         }
     }
 
@@ -284,7 +298,7 @@
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = (TargetSlot, &'a Target)> {
-        self.those(self.index.of_service(service))
+        self.resolve(self.index.of_service(service))
     }
 
     /// How many targets a service has.
@@ -293,35 +307,35 @@
     }
 
     /// Notes that a target said that it is full.
-    pub fn full(&mut self, slot: TargetSlot, now_ms: u64) {
+    pub fn record_full(&mut self, slot: TargetSlot, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.full_until_ms = now_ms + FULL_MS;
         }
     }
 
     /// Notes that a target was chosen for a request.
-    pub fn chosen(&mut self, slot: TargetSlot, cold: ColdRate, now_ms: u64) {
+    pub fn record_chosen(&mut self, slot: TargetSlot, cold: ColdRate, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
-            cold.sent(target, now_ms);
+            cold.record_send(target, now_ms);
         }
     }
 
     /// Notes that a target holds so many bytes more of a request.
-    pub fn holds(&mut self, slot: TargetSlot, bytes: u64) {
+    pub fn add_open_bytes(&mut self, slot: TargetSlot, bytes: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open_bytes += bytes;
         }
     }
 
     /// Notes that it holds so many less.
-    pub fn dropped(&mut self, slot: TargetSlot, bytes: u64) {
+    pub fn remove_open_bytes(&mut self, slot: TargetSlot, bytes: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open_bytes = target.open_bytes.saturating_sub(bytes);
         }
     }
 
     /// Notes a request that was sent to a target.
-    pub fn opened(&mut self, slot: TargetSlot) {
+    pub fn record_open(&mut self, slot: TargetSlot) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open += 1;
             self.index.in_use.insert(slot);
@@ -329,7 +343,7 @@
     }
 
     /// Notes that a request ended, and forgets a target that is gone with its last one.
-    pub fn closed(&mut self, slot: TargetSlot) {
+    pub fn record_close(&mut self, slot: TargetSlot) {
         let Some(target) = self.targets.get_mut(slot) else {
             return;
         };
@@ -337,12 +351,12 @@
         if target.open == 0 {
             self.index.in_use.remove(&slot);
         }
-        self.sweep(slot);
+        self.remove_if_idle(slot);
     }
 
     /// Forgets a target that is gone and has nothing of ours.
-    pub fn sweep(&mut self, slot: TargetSlot) {
-        let idle = |target: &Target| target.belief == Belief::Gone && target.open == 0;
+    pub fn remove_if_idle(&mut self, slot: TargetSlot) {
+        let idle = |target: &Target| target.state == TargetState::Gone && target.open == 0;
         if !self.targets.get(slot).is_some_and(idle) {
             return;
         }
@@ -350,7 +364,8 @@
             let instance = &target.entry.instance;
             self.index.remove(slot, &target.entry.service);
             if target.entry.born_ms.is_some() {
-                self.pasts.heard(&target.entry.life(), target.left);
+                self.tombstones
+                    .record_incarnation(&target.entry.life(), target.was_leaving);
             }
             if self.by_instance.get(instance) == Some(&slot) {
                 self.by_instance.remove(instance);
@@ -372,9 +387,9 @@
         let rank = |(slot, target): (TargetSlot, &Target)| {
             let far = f64::from(u8::from(target.data_centre != near)) * FAR_SHARE;
             let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
-            let passed_over = target.suspicion.is_ejected(now_ms);
+            let passed_over = target.outlier.is_ejected(now_ms);
             let full = target.is_full(now_ms);
-            let doubt = target.suspicion.failed_share();
+            let doubt = target.outlier.failed_share();
             let order = (
                 tried.contains(&slot),
                 passed_over,
--- a/components/relay/src/watch/targets_size_tests.rs
+++ b/components/relay/src/watch/targets_size_tests.rs
@@ -7,27 +7,27 @@
 const ENGINES: u64 = 9_000;
 
 /// A list of so many targets, nine of ten of the service `model`.
-fn book(targets: u64) -> TargetBook {
-    let mut book = TargetBook::default();
+fn book(targets: u64) -> TargetRegistry {
+    let mut book = TargetRegistry::default();
     for serial in 0..targets {
         let mut entry = entry(&format!("t{serial}"), 1, false, serial + 1);
         if serial % 10 == 9 {
             entry.service = "records".into();
         }
-        book.listed(entry, NOW_MS);
+        book.apply_entry(entry, NOW_MS);
     }
     book
 }
 
-fn slots(book: &TargetBook, most: usize) -> Vec<TargetSlot> {
+fn slots(book: &TargetRegistry, most: usize) -> Vec<TargetSlot> {
     book.all().map(|(slot, _)| slot).take(most).collect()
 }
 
 /// Targets looked at by an act.
-fn looks(book: &mut TargetBook, act: impl FnOnce(&mut TargetBook)) -> u64 {
-    let before = book.looks();
+fn looks(book: &mut TargetRegistry, act: impl FnOnce(&mut TargetRegistry)) -> u64 {
+    let before = book.checks();
     act(book);
-    book.looks() - before
+    book.checks() - before
 }
 
 #[rstest]
@@ -38,8 +38,8 @@
     let mut book = book(targets);
     let looked = looks(&mut book, |book| {
         assert!(book.leaving().is_empty());
-        assert!(book.still_missing(NOW_MS).is_empty());
-        assert!(book.open_trials(NOW_MS).is_empty());
+        assert!(book.expired_missing(NOW_MS).is_empty());
+        assert!(book.due_probes(NOW_MS).is_empty());
         assert!(book.in_use().is_empty());
     });
     assert_eq!(looked, 0);
@@ -49,22 +49,22 @@
 fn upkeep_finds_those_of_10_000_that_it_is_for() {
     let mut book = book(10_000);
     let slots = slots(&book, 4);
-    book.leaves(slots[0]);
+    book.mark_leaving(slots[0]);
     let missing = Missing {
         until_ms: NOW_MS,
         version: at(20_000),
     };
-    book.missed("t1", missing);
-    book.failed_generation(slots[2], EngineFault::Broke, NOW_MS);
-    book.opened(slots[3]);
+    book.mark_missing("t1", missing);
+    book.record_generation_failure(slots[2], EngineFault::Broke, NOW_MS);
+    book.record_open(slots[3]);
     let looked = looks(&mut book, |book| {
         assert_eq!(book.leaving().len(), 1);
-        assert_eq!(book.still_missing(NOW_MS).len(), 1);
-        assert_eq!(book.open_trials(NOW_MS), [slots[2]]);
+        assert_eq!(book.expired_missing(NOW_MS).len(), 1);
+        assert_eq!(book.due_probes(NOW_MS), [slots[2]]);
         assert_eq!(book.in_use(), [slots[3]]);
     });
     assert!(looked <= 8, "{looked}");
-    book.closed(slots[3]);
+    book.record_close(slots[3]);
     assert!(book.in_use().is_empty());
 }
 
@@ -83,12 +83,12 @@
 #[test]
 fn a_target_that_has_gone_or_serves_another_service_is_found_there_no_more() {
     let mut book = book(10);
-    book.unlisted("t0", at(100));
+    book.unlist("t0", at(100));
     let gone = slots(&book, 1)[0];
-    book.sweep(gone);
+    book.remove_if_idle(gone);
     let mut other = entry("t1", 1, false, 200);
     other.service = "records".into();
-    book.listed(other, NOW_MS);
+    book.apply_entry(other, NOW_MS);
     assert_eq!(book.of_service("model").count(), 7);
     assert_eq!(book.of_service("records").count(), 2);
 }
@@ -98,11 +98,11 @@
     let mut book = book(10_000);
     for serial in 0..4_500 {
         let slot = book.slot_of(entry(&format!("t{serial}"), 1, false, 0).life().id());
-        book.unlisted(&format!("t{serial}"), at(20_000 + serial));
-        book.sweep(slot.unwrap());
+        book.unlist(&format!("t{serial}"), at(20_000 + serial));
+        book.remove_if_idle(slot.unwrap());
     }
     let late = entry("t0", 1, false, 15_000);
-    assert_eq!(book.listed(late, NOW_MS), None);
+    assert_eq!(book.apply_entry(late, NOW_MS), None);
     assert_eq!(book.all().count(), 5_500);
 }
 
@@ -111,12 +111,12 @@
     let mut book = book(10_000);
     let failed = slots(&book, 1)[0];
     let id = book.get(failed).unwrap().id;
-    assert!(book.take_passing(NOW_MS).is_empty());
-    book.failed_generation(failed, EngineFault::Broke, NOW_MS);
+    assert!(book.take_transient(NOW_MS).is_empty());
+    book.record_generation_failure(failed, EngineFault::Broke, NOW_MS);
     let looked = looks(&mut book, |book| {
-        assert_eq!(book.take_passing(NOW_MS), [id]);
-        assert_eq!(book.take_passing(NOW_MS + 60_000), [id]);
-        assert!(book.take_passing(NOW_MS + 60_000).is_empty());
+        assert_eq!(book.take_transient(NOW_MS), [id]);
+        assert_eq!(book.take_transient(NOW_MS + 60_000), [id]);
+        assert!(book.take_transient(NOW_MS + 60_000).is_empty());
     });
     assert!(looked <= 8, "{looked}");
 }
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -5,9 +5,10 @@
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
 use crate::watch::election::{
-    CONFIRM_EACH, Following, TURN_CHECK, View, is_relieved, must_watch, pause_before_trying, rank,
+    CONFIRM_INTERVAL, ELECTION_CHECK_INTERVAL, FollowGuard, View, can_step_down, must_watch,
+    pause_before_retry, rank,
 };
-use crate::watch::entries::{Listing, listing, listing_of};
+use crate::watch::entries::{ListingUpdate, parse_entry, parse_event};
 use crate::watch::era::EraSource;
 use crate::watch::target_snapshot::{self, TargetSnapshot};
 use crate::watch::targets::Change;
@@ -22,36 +23,36 @@
 use tokio::time::sleep;
 
 /// Pause between two answers of the watch on targets, so that changes at one time cost one call.
-const TARGETS_PACE: Duration = Duration::from_millis(30);
+const TARGETS_POLL_PAUSE: Duration = Duration::from_millis(30);
 /// The same for the second box that follows them, while the first is heard, which tells all boxes at once. An answer is a
 /// call, whoever gets it.
-const STANDBY_PACE: Duration = Duration::from_millis(1_000);
+const STANDBY_POLL_PAUSE: Duration = Duration::from_millis(1_000);
 /// The first is heard while it has said that it follows the store within this time; it says so every 0.4 s.
-const STANDS_BY_MS: u64 = 900;
+const STANDBY_TIMEOUT_MS: u64 = 900;
 /// The pause for declarations: a storm of changes travels as one in this time, which each box learns of well
 /// within the users' bound of some seconds.
-const DECLARATIONS_PACE: Duration = Duration::from_millis(250);
+const DECLARATIONS_POLL_PAUSE: Duration = Duration::from_millis(250);
 
 /// Changes that a list read anew showed are told to all boxes, up to so many: where all ask for them instead, they ask the
 /// few that watch, at once. A list of which more is new is that of a box that knew little.
-const TOLD_MAX: usize = 1_024;
+const BROADCAST_CHANGES_MAX: usize = 1_024;
 
 /// A view that was not confirmed for this long was cut off by trouble of the store.
-const AWAY_MS: u64 = 1_000;
+const OUTAGE_MIN_MS: u64 = 1_000;
 /// After the store has come back, entries that lapsed meanwhile have this long to be written again. The users name
 /// about two seconds; what is still missing then is gone.
-const MISSING_MS: u64 = 2_000;
+const MISSING_GRACE_MS: u64 = 2_000;
 /// How often entries that are missing are looked over.
-const MISSING_LOOK_EACH: Duration = Duration::from_millis(100);
+const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows a view for as long as the box lives, while it must.
 pub(crate) async fn follow(relay: Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
     relay.seeds_asked().await;
-    learn(&relay, view).await;
+    read_initial(&relay, view).await;
     loop {
         if !must_watch(&relay, view) {
-            sleep(TURN_CHECK).await;
+            sleep(ELECTION_CHECK_INTERVAL).await;
             continue;
         }
         let ended = tokio::select! {
@@ -65,14 +66,14 @@
             }
             metrics::counter!("shuntpier_store_failures", "of" => view.name()).increment(1);
             slog::info!(relay.log, "store not followed"; "view" => view.name(), "error" => %error);
-            pause_before_trying(&relay, backoff.next()).await;
+            pause_before_retry(&relay, backoff.next_pause()).await;
         }
     }
 }
 
 /// Reads a view that no seed told, as it was up to some seconds ago: that costs a tenth, and whoever follows the store
 /// tells what is newer within a second.
-async fn learn(relay: &Rc<Relay>, view: View) {
+async fn read_initial(relay: &Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
     while !relay.knows(view) {
         let listed = tokio::select! {
@@ -85,7 +86,7 @@
                 metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
                 // A peer that told it meanwhile knew better.
                 if !relay.knows(view) {
-                    take_list(relay, view, &items, version);
+                    apply_list(relay, view, &items, version);
                 }
                 return;
             }
@@ -109,23 +110,23 @@
     {
         // A peer that told the list meanwhile knew better.
         if !relay.knows(view) {
-            take_snapshot(relay, snapshot);
+            apply_snapshot(relay, snapshot);
         }
         return Ok(None);
     }
     relay.store.list_stale(prefix_of(view)).await.map(Some)
 }
 
-fn take_snapshot(relay: &Rc<Relay>, snapshot: TargetSnapshot) {
+fn apply_snapshot(relay: &Rc<Relay>, snapshot: TargetSnapshot) {
     let version = snapshot.version;
     slog::info!(relay.log, "snapshot of targets read"; "version" => %version,
         "targets" => snapshot.entries.len());
-    relay.see_era(version.era(), EraSource::Store);
+    relay.observe_era(version.era(), EraSource::Store);
     let now_ms = relay.now_ms();
     let mut targets = relay.targets.borrow_mut();
     let changes = targets.replace(snapshot.entries, version, None, now_ms);
     drop(targets);
-    relay.took_changes(&changes, "snapshot");
+    relay.handle_target_changes(&changes, "snapshot");
 }
 
 /// Reads a view, then watches it until it is other boxes' turn.
@@ -135,7 +136,7 @@
     backoff: &mut Backoff,
 ) -> Result<(), StoreError> {
     let was_known = relay.confirmed_ms(view).is_some();
-    let version = read(relay, view).await?;
+    let version = read_current(relay, view).await?;
     backoff.reset();
     if !was_known {
         // A box that has just started learns first whose turn it is.
@@ -143,9 +144,9 @@
     }
     slog::info!(relay.log, "store followed by this box"; "view" => view.name(),
         "rank" => rank(relay), "version" => %version);
-    let _following = Following::begin(relay, view);
+    let _following = FollowGuard::begin(relay, view);
     let watch = relay.store.watch_after(prefix_of(view), version);
-    keep_watching(relay, view, watch).await
+    watch_view(relay, view, watch).await
 }
 
 fn prefix_of(view: View) -> &'static str {
@@ -155,7 +156,7 @@
     }
 }
 
-async fn keep_watching(
+async fn watch_view(
     relay: &Rc<Relay>,
     view: View,
     mut watch: FleetWatch,
@@ -167,38 +168,38 @@
             loop {
                 tokio::select! {
                     events = &mut answer => break events?,
-                    () = sleep(CONFIRM_EACH) => {}
+                    () = sleep(CONFIRM_INTERVAL) => {}
                 }
-                if is_relieved(relay, began_ms) {
+                if can_step_down(relay, began_ms) {
                     return Ok(());
                 }
             }
         };
         metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
         match view {
-            View::Declarations => take_declared(relay, events),
-            View::Targets => take_targets(relay, events, watch.version()),
+            View::Declarations => apply_declaration_events(relay, events),
+            View::Targets => apply_target_events(relay, events, watch.version()),
         }
         relay.confirm(view);
-        sleep(pace(relay, view)).await;
+        sleep(poll_pause(relay, view)).await;
     }
 }
 
 /// The pause before the next answer of a watch is asked for.
-fn pace(relay: &Relay, view: View) -> Duration {
-    let heard_ms = relay.members.borrow().heard_follower_ms();
-    let is_second = rank(relay) != Some(0) && heard_ms + STANDS_BY_MS > relay.now_ms();
+fn poll_pause(relay: &Relay, view: View) -> Duration {
+    let last_seen_ms = relay.members.borrow().heard_follower_ms();
+    let is_second = rank(relay) != Some(0) && last_seen_ms + STANDBY_TIMEOUT_MS > relay.now_ms();
     match view {
-        View::Declarations => DECLARATIONS_PACE,
-        View::Targets if is_second => STANDBY_PACE,
-        View::Targets => TARGETS_PACE,
+        View::Declarations => DECLARATIONS_POLL_PAUSE,
+        View::Targets if is_second => STANDBY_POLL_PAUSE,
+        View::Targets => TARGETS_POLL_PAUSE,
     }
 }
 
 /// Says to all boxes, while this one asks engines instead of the store, that it does.
-pub(crate) async fn run_asking(relay: Rc<Relay>) {
+pub(crate) async fn run_poll_announcements(relay: Rc<Relay>) {
     loop {
-        sleep(CONFIRM_EACH).await;
+        sleep(CONFIRM_INTERVAL).await;
         if relay.asking.get() && !relay.following.get().any() {
             tell_current(&relay);
         }
@@ -206,24 +207,24 @@
 }
 
 /// Reads a view as it is now, and says at which version.
-async fn read(relay: &Rc<Relay>, view: View) -> Result<Version, StoreError> {
+async fn read_current(relay: &Rc<Relay>, view: View) -> Result<Version, StoreError> {
     let (items, version) = relay.store.list_with_version(prefix_of(view)).await?;
-    note_return(relay);
+    record_store_recovery(relay);
     metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
-    let taken = take_list(relay, view, &items, version);
+    let taken = apply_list(relay, view, &items, version);
     relay.confirm(view);
     match taken {
-        Taken::Nothing => {}
-        Taken::Table => spread_table(relay),
-        Taken::Targets(Some(told)) => spread_targets(relay, told),
+        ViewChange::Nothing => {}
+        ViewChange::Table => spread_table(relay),
+        ViewChange::Targets(Some(told)) => spread_targets(relay, told),
         // Its version is in what this box says next; whoever lacks something asks for it.
-        Taken::Targets(None) => tell_current(relay),
+        ViewChange::Targets(None) => tell_current(relay),
     }
     Ok(version)
 }
 
 /// What a view that was read told that was new.
-enum Taken {
+enum ViewChange {
     Nothing,
     Table,
     /// What to tell the others; none where that is more than is told.
@@ -231,26 +232,26 @@
 }
 
 /// Takes a view in as it was read.
-fn take_list(relay: &Rc<Relay>, view: View, items: &[Versioned], version: Version) -> Taken {
-    relay.see_era(version.era(), EraSource::Store);
+fn apply_list(relay: &Rc<Relay>, view: View, items: &[Versioned], version: Version) -> ViewChange {
+    relay.observe_era(version.era(), EraSource::Store);
     match view {
         View::Declarations => {
-            read_evacuations(relay, items, version);
+            apply_evacuations(relay, items, version);
             let config = items.iter().find(|item| item.key == CONFIG_KEY);
             match config.is_some_and(|item| relay.declare(&item.value, "store")) {
-                true => Taken::Table,
-                false => Taken::Nothing,
+                true => ViewChange::Table,
+                false => ViewChange::Nothing,
             }
         }
-        View::Targets => read_targets(relay, items, version),
+        View::Targets => apply_target_list(relay, items, version),
     }
 }
 
 /// Notes that the store answers again after trouble.
-fn note_return(relay: &Relay) {
+fn record_store_recovery(relay: &Relay) {
     let now_ms = relay.now_ms();
     let confirmed_ms = relay.confirmed_ms(View::Targets);
-    let was_away = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + AWAY_MS < now_ms);
+    let was_away = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + OUTAGE_MIN_MS < now_ms);
     if was_away {
         relay.store_back_ms.set(Some(now_ms));
     }
@@ -258,32 +259,33 @@
 
 /// Until when entries that are missing may still come back; none where the store had no trouble lately.
 fn missing_until_ms(relay: &Relay) -> Option<u64> {
-    let until_ms = relay.store_back_ms.get()? + MISSING_MS;
+    let until_ms = relay.store_back_ms.get()? + MISSING_GRACE_MS;
     (relay.now_ms() < until_ms).then_some(until_ms)
 }
 
 /// Gives up targets whose entries are still missing after the store has come back, for as long as the box lives.
-pub(crate) async fn run_missing(relay: Rc<Relay>) {
+pub(crate) async fn run_missing_expiry(relay: Rc<Relay>) {
     loop {
-        sleep(MISSING_LOOK_EACH).await;
-        let gone = relay.targets.borrow_mut().still_missing(relay.now_ms());
+        sleep(MISSING_CHECK_INTERVAL).await;
+        let gone = relay.targets.borrow_mut().expired_missing(relay.now_ms());
         if !gone.is_empty() {
             let gone = gone.into_iter();
-            let listings = gone.map(|(instance, version)| Listing::Unlisted(instance, version));
-            take_listings(&relay, listings.collect(), None);
+            let listings =
+                gone.map(|(instance, version)| ListingUpdate::Unlisted(instance, version));
+            apply_listing_updates(&relay, listings.collect(), None);
         }
     }
 }
 
 /// Takes in which data centres are evacuated, as the list of all that operators wrote says it.
-fn read_evacuations(relay: &Rc<Relay>, items: &[Versioned], version: Version) {
+fn apply_evacuations(relay: &Rc<Relay>, items: &[Versioned], version: Version) {
     let named = items
         .iter()
         .filter_map(|item| evacuated_data_centre(&item.key))
         .map(Box::from)
         .collect();
-    let may_be_copied = relay.is_settling();
-    let changed = relay.change_evacuations("store", |known| match may_be_copied {
+    let may_be_stale = relay.is_settling();
+    let changed = relay.update_evacuations("store", |known| match may_be_stale {
         // An order that the copy lacks may stand, and one that it has may have been taken back: more is withheld for now.
         true => known.join(&Evacuations::of_copy(named, version)),
         false => known.read(named, version),
@@ -293,11 +295,11 @@
     }
 }
 
-fn take_declared(relay: &Rc<Relay>, events: Vec<WatchEvent>) {
+fn apply_declaration_events(relay: &Rc<Relay>, events: Vec<WatchEvent>) {
     for event in events {
         if let Some(name) = evacuated_data_centre(&event.key) {
             let (holds, version) = (event.value.is_some(), event.version());
-            if relay.change_evacuations("store", |known| known.ordered(name, holds, version)) {
+            if relay.update_evacuations("store", |known| known.ordered(name, holds, version)) {
                 tell_current(relay);
             }
             continue;
@@ -310,7 +312,7 @@
     }
 }
 
-fn read_targets(relay: &Rc<Relay>, items: &[Versioned], version: Version) -> Taken {
+fn apply_target_list(relay: &Rc<Relay>, items: &[Versioned], version: Version) -> ViewChange {
     let now_ms = relay.now_ms();
     let missing_until_ms = missing_until_ms(relay);
     let mut changes = Vec::new();
@@ -318,55 +320,62 @@
     let mut targets = relay.targets.borrow_mut();
     let after = targets.changed_at;
     for item in items {
-        match listing(relay, item) {
-            Some(Listing::Listed(entry)) => entries.push(entry),
-            Some(refused) => changes.extend(refused.take(&mut targets, missing_until_ms, now_ms)),
+        match parse_entry(relay, item) {
+            Some(ListingUpdate::Listed(entry)) => entries.push(entry),
+            Some(refused) => changes.extend(refused.apply(&mut targets, missing_until_ms, now_ms)),
             None => {}
         }
     }
     changes.extend(targets.replace(entries, version, missing_until_ms, now_ms));
-    targets.read_at(version, now_ms);
-    let is_told = changes.len() <= TOLD_MAX;
-    let told = is_told.then(|| targets.told_anew(&changes, after, now_ms));
+    targets.record_list_read(version, now_ms);
+    let is_told = changes.len() <= BROADCAST_CHANGES_MAX;
+    let told = is_told.then(|| targets.changes_since(&changes, after, now_ms));
     drop(targets);
-    relay.took_changes(&changes, "store");
+    relay.handle_target_changes(&changes, "store");
     match changes.is_empty() {
-        true => Taken::Nothing,
-        false => Taken::Targets(told),
+        true => ViewChange::Nothing,
+        false => ViewChange::Targets(told),
     }
 }
 
-fn take_targets(relay: &Rc<Relay>, events: Vec<WatchEvent>, version: Version) {
-    let listings: Vec<Listing> = events
+fn apply_target_events(relay: &Rc<Relay>, events: Vec<WatchEvent>, version: Version) {
+    let listings: Vec<ListingUpdate> = events
         .into_iter()
-        .filter_map(|event| listing_of(relay, event))
+        .filter_map(|event| parse_event(relay, event))
         .collect();
-    take_listings(relay, listings, missing_until_ms(relay));
+    apply_listing_updates(relay, listings, missing_until_ms(relay));
     let mut targets = relay.targets.borrow_mut();
     targets.current_to = targets.current_to.max(version);
 }
 
 /// Takes changes of the list in and tells them to all boxes.
-fn take_listings(relay: &Rc<Relay>, listings: Vec<Listing>, missing_until_ms: Option<u64>) {
+fn apply_listing_updates(
+    relay: &Rc<Relay>,
+    listings: Vec<ListingUpdate>,
+    missing_until_ms: Option<u64>,
+) {
     let now_ms = relay.now_ms();
     let mut changes = Vec::new();
     let after = relay.targets.borrow().changed_at;
     let (mut listed, mut unlisted) = (Vec::new(), Vec::new());
     for listing in listings {
         let mut targets = relay.targets.borrow_mut();
-        let Some(change) = listing.take(&mut targets, missing_until_ms, now_ms) else {
+        let Some(change) = listing.apply(&mut targets, missing_until_ms, now_ms) else {
             continue;
         };
         changes.push(change);
         match (listing, change) {
-            (Listing::Listed(entry), _) => listed.push(entry),
-            (Listing::Unlisted(_, at) | Listing::Refused(_, _, at), Change::Went(slot)) => {
+            (ListingUpdate::Listed(entry), _) => listed.push(entry),
+            (
+                ListingUpdate::Unlisted(_, at) | ListingUpdate::Refused(_, _, at),
+                Change::Removed(slot),
+            ) => {
                 unlisted.extend(targets.get(slot).map(|target| (target.entry.life(), at)));
             }
             _ => {}
         }
     }
-    relay.took_changes(&changes, "store");
+    relay.handle_target_changes(&changes, "store");
     if !changes.is_empty() {
         let told = TargetChanges {
             after,
--- a/components/relay/tests/targets.rs
+++ b/components/relay/tests/targets.rs
@@ -1,7 +1,7 @@
 //! What a box believes of targets, one life at a time.
 
 use prelude::{DataCentreId, Version};
-use relay::{Belief, Change, ColdRate, TargetBook};
+use relay::{Change, ColdRate, TargetRegistry, TargetState};
 use routing::{TargetEntry, TargetLife, TargetPhase};
 
 /// A version of the first era.
@@ -42,85 +42,88 @@
 
 #[test]
 fn a_life_that_leaves_never_takes_work_again() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRegistry::default();
     assert!(matches!(
-        book.listed(entry("a", TargetPhase::Ready, 1), 0),
-        Some(Change::Came(_))
+        book.apply_entry(entry("a", TargetPhase::Ready, 1), 0),
+        Some(Change::Added(_))
     ));
     assert!(matches!(
-        book.listed(entry("a", TargetPhase::Leaving, 2), 0),
-        Some(Change::Leaves(_))
+        book.apply_entry(entry("a", TargetPhase::Leaving, 2), 0),
+        Some(Change::Leaving(_))
     ));
-    assert_eq!(book.listed(entry("a", TargetPhase::Ready, 3), 0), None);
+    assert_eq!(book.apply_entry(entry("a", TargetPhase::Ready, 3), 0), None);
     assert_eq!(book.choose("records", near(), &[], WARM, 0), None);
 }
 
 #[test]
 fn an_older_word_changes_nothing() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 5), 0);
-    assert_eq!(book.listed(entry("a", TargetPhase::Leaving, 4), 0), None);
-    assert_eq!(book.unlisted("a", at(4)), None);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 5), 0);
+    assert_eq!(
+        book.apply_entry(entry("a", TargetPhase::Leaving, 4), 0),
+        None
+    );
+    assert_eq!(book.unlist("a", at(4)), None);
     assert!(book.choose("records", near(), &[], WARM, 0).is_some());
 }
 
 #[test]
 fn an_entry_that_is_missing_as_the_store_comes_back_takes_work_until_its_time_is_over() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 2), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
+    book.apply_entry(entry("b", TargetPhase::Ready, 2), 0);
     assert!(book.replace(Vec::new(), at(5), Some(2_000), 0).is_empty());
     assert!(book.choose("records", near(), &[], WARM, 0).is_some());
-    assert!(book.still_missing(1_999).is_empty());
-    book.listed(entry("a", TargetPhase::Ready, 6), 1_000);
-    assert_eq!(book.still_missing(2_000), [("b".into(), at(5))]);
-    assert!(matches!(book.unlisted("b", at(5)), Some(Change::Went(_))));
-    assert!(book.still_missing(9_000).is_empty());
+    assert!(book.expired_missing(1_999).is_empty());
+    book.apply_entry(entry("a", TargetPhase::Ready, 6), 1_000);
+    assert_eq!(book.expired_missing(2_000), [("b".into(), at(5))]);
+    assert!(matches!(book.unlist("b", at(5)), Some(Change::Removed(_))));
+    assert!(book.expired_missing(9_000).is_empty());
 }
 
 #[test]
 fn a_target_that_leaves_is_gone_at_once_where_its_entry_is_missing() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Leaving, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Leaving, 1), 0);
     assert_eq!(book.replace(Vec::new(), at(5), Some(2_000), 0).len(), 1);
 }
 
 #[test]
 fn an_entry_that_vanished_may_come_back() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
     let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(slot);
+    book.record_open(slot);
     assert_eq!(
         book.replace(Vec::new(), at(3), None, 0),
-        [Change::Went(slot)]
+        [Change::Removed(slot)]
     );
-    assert_eq!(book.get(slot).unwrap().belief, Belief::Gone);
+    assert_eq!(book.get(slot).unwrap().state, TargetState::Gone);
     assert_eq!(
-        book.listed(entry("a", TargetPhase::Ready, 4), 0),
-        Some(Change::Came(slot))
+        book.apply_entry(entry("a", TargetPhase::Ready, 4), 0),
+        Some(Change::Added(slot))
     );
 }
 
 #[test]
 fn a_life_that_is_gone_is_kept_while_it_serves_something() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
     let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(slot);
-    book.unlisted("a", at(2));
-    book.sweep(slot);
+    book.record_open(slot);
+    book.unlist("a", at(2));
+    book.remove_if_idle(slot);
     assert!(book.get(slot).is_some());
-    book.closed(slot);
+    book.record_close(slot);
     assert!(book.get(slot).is_none());
 }
 
 #[test]
 fn a_peers_word_that_a_life_leaves_is_believed() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 1), 0);
-    assert_eq!(book.told_leaving(&[life("a"), life("unknown")]).len(), 1);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
+    book.apply_entry(entry("b", TargetPhase::Ready, 1), 0);
+    assert_eq!(book.apply_leaving(&[life("a"), life("unknown")]).len(), 1);
     assert_eq!(book.leaving(), [life("a")]);
     let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
     assert_eq!(&*book.get(slot).unwrap().entry.instance, "b");
@@ -128,18 +131,15 @@
 
 #[test]
 fn the_emptier_target_is_chosen_and_a_failing_one_is_passed_over() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
+    book.apply_entry(entry("b", TargetPhase::Ready, 1), 0);
     let first = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(first);
+    book.record_open(first);
     let second = book.choose("records", near(), &[], WARM, 0).unwrap();
     assert_ne!(first, second);
     for at_ms in 0..3 {
-        book.get_mut(second)
-            .unwrap()
-            .suspicion
-            .record_failure(at_ms);
+        book.get_mut(second).unwrap().outlier.record_failure(at_ms);
     }
     assert_eq!(book.choose("records", near(), &[], WARM, 10), Some(first));
     assert_eq!(
@@ -154,18 +154,18 @@
         rate_per_s: Some(10.0),
         boxes: 1,
     };
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
     let slot = book.choose("records", near(), &[], cold, 0).unwrap();
     let turned = TargetEntry {
         cold_left_ms: 4_000,
         ..entry("a", TargetPhase::Ready, 2)
     };
-    assert_eq!(book.listed(turned, 0), Some(Change::Cold(slot)));
+    assert_eq!(book.apply_entry(turned, 0), Some(Change::TurnedCold(slot)));
     let mut sent = 0;
     for now_ms in (0..2_000).step_by(5) {
         if let Some(slot) = book.choose("records", near(), &[], cold, now_ms) {
-            book.chosen(slot, cold, now_ms);
+            book.record_chosen(slot, cold, now_ms);
             sent += 1;
         }
     }
@@ -176,8 +176,8 @@
 
 #[test]
 fn an_evacuated_target_is_never_chosen() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let mut book = TargetRegistry::default();
+    book.apply_entry(entry("a", TargetPhase::Ready, 1), 0);
     book.evacuate([near()].into());
     assert_eq!(book.choose("records", near(), &[], WARM, 0), None);
     book.evacuate([].into());
