--- a/components/relay/src/watch/backoff.rs
+++ b/components/relay/src/watch/backoff.rs
@@ -1,17 +1,17 @@
-//! Pauses that grow while something fails.
+//! Exponential backoff for retries.
 
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The first pause.
+/// Pause after the first failure.
 const PAUSE_MIN: Duration = Duration::from_millis(100);
-/// The longest: news from peers fills the gap, and each call is paid for, refused ones too.
+/// Longest pause. Peers send updates in the meantime, and every call to the store is billed, refused ones too.
 const PAUSE_MAX: Duration = Duration::from_millis(1_600);
 
-/// The longest for what can wait: a box whose key lapses is still known to its peers.
+/// Longest pause for work that can wait: peers still know a box whose key has lapsed.
 const LONG_PAUSE_MAX: Duration = Duration::from_millis(6_400);
 
-/// Pauses that double with each failure.
+/// A retry pause that doubles with each failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
     pause: Duration,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Pauses that grow longer, for what can wait.
+    /// A backoff with a higher maximum, for work that can wait.
     pub(crate) fn with_long_pauses() -> Self {
         Self {
             pause_max: LONG_PAUSE_MAX,
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Waits, and makes the next pause longer.
+    /// Sleeps for the current pause and doubles the next one.
     pub(crate) async fn pause(&mut self) {
         sleep(self.next_pause()).await;
     }
 
-    /// The next pause.
+    /// Returns the current pause and doubles the next one.
     pub(crate) fn next_pause(&mut self) -> Duration {
         let pause = self.pause;
         self.pause = (pause * 2).min(self.pause_max);
         pause
     }
 
-    /// Whether nothing has failed since the last success.
+    /// Whether nothing has failed since the last reset.
     pub(crate) fn is_reset(&self) -> bool {
         self.pause == PAUSE_MIN
     }
 
-    /// Begins anew, after a success.
+    /// Returns to the shortest pause, after a success.
     pub(crate) fn reset(&mut self) {
         self.pause = PAUSE_MIN;
     }
--- a/components/relay/src/watch/changes.rs
+++ b/components/relay/src/watch/changes.rs
@@ -1,15 +1,17 @@
-//! What follows from changes of targets: lines, channels that close, engines that dispatchers use, and whoever waits for them.
+//! Side effects of target changes: logs, closed channels, updated engine sets of dispatchers, and wake-ups of waiting
+//! requests.
 
 use crate::state::Relay;
 use crate::watch::targets::{Change, TargetSlot};
 use std::rc::Rc;
 
 impl Relay {
-    /// Acts on changes of targets.
+    /// Logs changes of targets, closes the channels of ended incarnations and notifies dispatchers and waiting
+    /// requests.
     pub(crate) fn handle_target_changes(self: &Rc<Self>, changes: &[Change], source: &'static str) {
         let mut changed = Vec::new();
         for change in changes {
-            let (slot, word) = match change {
+            let (slot, label) = match change {
                 Change::Added(slot) => (*slot, "came"),
                 Change::Leaving(slot) => (*slot, "leaves"),
                 Change::Removed(slot) => (*slot, "went"),
@@ -19,7 +21,7 @@
             let targets = self.targets.borrow();
             if let Some(target) = targets.get(slot) {
                 changed.push(target.id);
-                slog::info!(self.log, "target"; "change" => word, "source" => source,
+                slog::info!(self.log, "target"; "change" => label, "source" => source,
                     "instance" => &*target.entry.instance, "service" => &*target.entry.service,
                     "address" => %target.entry.address, "version" => %target.entry.version,
                     "born_ms" => target.entry.born_ms, "open" => target.open);
@@ -48,14 +50,14 @@
         }
     }
 
-    /// Notes the end of a life that is listed no more, where it had not said that it leaves.
+    /// Records the end of an incarnation that was removed without having announced that it leaves.
     fn handle_unannounced_end(self: &Rc<Self>, slot: TargetSlot) {
-        let life = {
+        let incarnation = {
             let targets = self.targets.borrow();
             let unannounced = targets.get(slot).filter(|target| !target.was_leaving);
             unannounced.map(|target| (target.id, target.entry.instance.clone()))
         };
-        if let Some((target, name)) = life {
+        if let Some((target, name)) = incarnation {
             self.ended_unannounced(target, &name);
         }
     }
--- a/components/relay/src/watch/election.rs
+++ b/components/relay/src/watch/election.rs
@@ -1,6 +1,6 @@
-//! Whose turn it is to follow the platform's store. Two boxes follow it for all: the first in rank, and the
-//! first of another data centre. The others hear from them that their view is current, and look themselves
-//! when nobody says so.
+//! Elects the boxes that watch the platform's store. Two boxes watch it for the fleet: the first in rank, and the
+//! first of another data centre. They confirm to the others that their view is current; a box that gets no
+//! confirmation reads the store itself.
 
 use crate::state::Relay;
 use prelude::BoxId;
@@ -9,46 +9,48 @@
 use tokio::time::{Instant, sleep};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a box that does not follow the store looks whether it must.
+/// How often a box that does not watch the store checks whether it must.
 pub(crate) const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a box that follows the store renews its lease there, and says that its view is current when that was
-/// answered. A box that asks engines instead says so as often.
+/// How often a watching box renews its lease in the store and, when that call is answered, confirms that its view is
+/// current. A box that polls the engines instead announces that as often.
 pub(crate) const CONFIRM_INTERVAL: Duration = Duration::from_millis(400);
-/// A box whose view was not confirmed for this long looks itself: two words of those that follow were missed.
+/// A box whose view was not confirmed for this long reads the store itself: two confirmations of the watching boxes
+/// were missed.
 const CONFIRM_TIMEOUT_MS: u64 = 900;
-/// Each further box in rank leaves it this much longer to those before it.
+/// Added wait per rank, so that boxes of lower rank number read the store first.
 const RANK_DELAY_MS: u64 = 200;
-/// Beyond this rank boxes wait little longer: changes must be known within the users' bounds.
+/// Ranks beyond this one add little wait, as changes must be known within the users' bounds.
 const EARLY_RANK_MAX: u64 = 4;
-/// Each of them leaves this much to the one before it, up to so many: the first that reads the store tells all others within
-/// some hundredths of a second, and all reading a long list at once is more than the store can do.
+/// Added wait per late rank, up to a maximum rank. The first box that reads the store informs all others within some
+/// hundredths of a second, and the store can't serve a long list to all boxes at once.
 const LATE_RANK_DELAY_MS: u64 = 2;
 const LATE_RANKS_MAX: u64 = 1_000;
-/// The same while one of those before them asks engines instead of the store, which is away or turns it away: each tries once,
-/// and the first that the store answers tells the others. Calls to a store that is away are paid for too.
+/// Added wait per late rank while a box of lower rank number polls engines because the store is unreachable or
+/// rejects calls. Each box tries once, and the first that gets an answer informs the others. Calls to an unreachable
+/// store are billed too.
 const OUTAGE_RANK_DELAY_MS: u64 = 25;
-/// Each leaves at least as much as reading the list takes of the store's link, for each target of it: where many read at one
-/// time, none has its answer before it gives up.
+/// Minimum added wait per late rank and listed target: the time that the list takes on the store's link. With many
+/// concurrent reads, none would finish before its timeout.
 const READ_MS_PER_TARGET: f64 = 0.003;
-/// Beyond this place in rank, and while they stop, boxes leave it to others no longer than there.
+/// The wait grows no further beyond this rank; boxes that stop have no rank and wait as long.
 const READ_RANKS_MAX: u64 = 10_000;
-/// Pause of boxes beyond that rank between two tries to follow a store that does not answer, and where another box
-/// says that it is away.
+/// Retry pause of late-ranked boxes while the store does not answer, and the pause while another box polls engines.
 const LATE_RANK_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
 const OUTAGE_RETRY_PAUSE: Duration = Duration::from_millis(6_400);
-/// A box that asks all engines says so every 0.4 s; one that was not heard for this long asks no more.
+/// A box that polls all engines announces it every 0.4 s; after this long without an announcement it counts as having
+/// stopped.
 const POLLER_TIMEOUT_MS: u64 = 1_000;
-/// A box that no peer has answered or called for this long is alone, and leaves nothing to others.
+/// A box that no peer has answered or called for this long counts as isolated and does not wait for others.
 pub(crate) const ISOLATION_TIMEOUT_MS: u64 = 1_200;
-/// So long after its start a box does not know yet whose turn it is.
-const SETTLE_MS: u64 = 800;
+/// Time after the start in which a box does not know its rank yet.
+const STARTUP_GRACE_MS: u64 = 800;
 
-/// What is followed_views in the store.
+/// A part of the store that boxes watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum View {
-    /// What the operators declare.
+    /// Settings and orders that the operators declare.
     Declarations,
-    /// The targets that list themselves.
+    /// Targets that register themselves.
     Targets,
 }
 
@@ -61,42 +63,42 @@
     }
 }
 
-/// The role of following the store, for rendezvous hashing.
+/// Key of the watcher role in rendezvous hashing.
 pub(crate) fn watcher_role() -> u64 {
     xxh3_64(b"targets")
 }
 
-/// The boxes that may follow the store, the first in rank first.
+/// The boxes that may watch the store, in order of rank.
 fn ranked_boxes(relay: &Relay) -> Rc<[BoxId]> {
     let members = relay.members.borrow();
     members.ranked(watcher_role(), relay.is_stopping(), relay.now_ms())
 }
 
-/// This box's place among those that may follow the store; none where it stops.
+/// This box's rank among those that may watch the store; `None` while it stops.
 pub(crate) fn rank(relay: &Relay) -> Option<usize> {
     ranked_boxes(relay).iter().position(|id| *id == relay.id)
 }
 
-/// Whether this box is among the first in rank, who look for a store that is away as often as they may.
+/// Whether this box is among the first in rank, which retry an unreachable store at the shortest pause.
 pub(crate) fn has_early_rank(relay: &Relay) -> bool {
     rank(relay).is_some_and(|rank| rank as u64 <= EARLY_RANK_MAX)
 }
 
-/// Waits before the store is tried again. Boxes late in rank leave it to the first: in an outage the calls of all that try
-/// grow with their number.
+/// Waits before the store is retried. Late-ranked boxes wait longer, as the calls in an outage grow with the number
+/// of boxes that retry.
 pub(crate) async fn pause_before_retry(relay: &Relay, pause: Duration) {
-    let began = Instant::now();
+    let started = Instant::now();
     let late_pause = match another_box_polls(relay) {
         true => OUTAGE_RETRY_PAUSE,
         false => LATE_RANK_RETRY_PAUSE,
     };
     sleep(pause).await;
-    while began.elapsed() < late_pause && !has_early_rank(relay) {
+    while started.elapsed() < late_pause && !has_early_rank(relay) {
         sleep(ELECTION_CHECK_INTERVAL).await;
     }
 }
 
-/// Whether it is this box's turn: it is the first in rank, or the first outside the first one's data centre.
+/// Whether this box is elected: it is the first in rank, or the first outside that box's data centre.
 pub(crate) fn is_elected(relay: &Relay) -> bool {
     let ranked_boxes = ranked_boxes(relay);
     let Some(first) = ranked_boxes.first().copied() else {
@@ -109,7 +111,8 @@
     first == relay.id || second == Some(relay.id)
 }
 
-/// How long this box leaves it to others to say that its view is current.
+/// How long, in ms, this box waits for a confirmation of its view before it reads the store itself; 0 if it is
+/// elected.
 pub(crate) fn confirm_timeout_ms(relay: &Relay, view: View) -> u64 {
     if is_elected(relay) {
         return 0;
@@ -118,68 +121,69 @@
     if last_seen_ms + ISOLATION_TIMEOUT_MS < relay.now_ms() {
         return CONFIRM_TIMEOUT_MS;
     }
-    let most = relay.members.borrow().budget_share();
+    let expected = relay.members.borrow().budget_share();
     let known = ranked_boxes(relay).len();
-    let turn = rank(relay).map_or(u64::MAX, |rank| fleet_rank(rank as u64, known, most));
+    let rank_in_fleet =
+        rank(relay).map_or(u64::MAX, |rank| fleet_rank(rank as u64, known, expected));
     let is_outage = another_box_polls(relay);
     let listed = match view {
         View::Declarations => 0,
         View::Targets => relay.targets.borrow().len(),
     };
-    CONFIRM_TIMEOUT_MS + rank_delay_ms(turn, is_outage, listed)
+    CONFIRM_TIMEOUT_MS + rank_delay_ms(rank_in_fleet, is_outage, listed)
 }
 
-/// How much longer than the first in rank a box leaves it to others, where so many targets are listed.
-fn rank_delay_ms(turn: u64, is_outage: bool, listed: usize) -> u64 {
-    let late = turn.saturating_sub(EARLY_RANK_MAX);
+/// Wait in ms that a rank adds to the confirmation timeout, for a list of `listed` targets.
+fn rank_delay_ms(rank_in_fleet: u64, is_outage: bool, listed: usize) -> u64 {
+    let late = rank_in_fleet.saturating_sub(EARLY_RANK_MAX);
     let late_rank_delay_ms = match is_outage {
         true => OUTAGE_RANK_DELAY_MS,
         false => LATE_RANK_DELAY_MS,
     };
-    let late_ms = late_rank_delay_ms * late.min(LATE_RANKS_MAX);
-    let read_ms = listed as f64 * READ_MS_PER_TARGET;
-    let read_ms = (read_ms * late.min(READ_RANKS_MAX) as f64) as u64;
-    RANK_DELAY_MS * turn.min(EARLY_RANK_MAX) + late_ms.max(read_ms)
+    let late_wait_ms = late_rank_delay_ms * late.min(LATE_RANKS_MAX);
+    let read_wait_ms = listed as f64 * READ_MS_PER_TARGET;
+    let read_wait_ms = (read_wait_ms * late.min(READ_RANKS_MAX) as f64) as u64;
+    RANK_DELAY_MS * rank_in_fleet.min(EARLY_RANK_MAX) + late_wait_ms.max(read_wait_ms)
 }
 
-/// A box's place in rank among all boxes that there are, where it is `rank`-th of those that it knows. One that has just started
-/// knows few: all would else think that it is their turn soon.
-fn fleet_rank(rank: u64, known: usize, most: usize) -> u64 {
+/// Scales a rank among the known boxes to the expected size of the fleet. A box that has just started knows few
+/// peers, and all new boxes would otherwise consider themselves early in rank.
+fn fleet_rank(rank: u64, known: usize, expected: usize) -> u64 {
     if rank <= EARLY_RANK_MAX {
         return rank;
     }
-    let times = most.max(known) as f64 / known.max(1) as f64;
-    (rank as f64 * times) as u64
+    let scale = expected.max(known) as f64 / known.max(1) as f64;
+    (rank as f64 * scale) as u64
 }
 
-/// Whether another box asks all engines whether they leave.
+/// Whether another box polls all engines for their leaving.
 pub(crate) fn another_box_polls(relay: &Relay) -> bool {
     let last_seen_ms = relay.heard_asker_ms.get();
     last_seen_ms > 0 && last_seen_ms + POLLER_TIMEOUT_MS > relay.now_ms()
 }
 
-/// Whether this box must follow a view itself: it is its turn, or nobody says that the view is current.
+/// Whether this box must watch a view itself: it is elected, or nobody has confirmed the view in time.
 pub(crate) fn must_watch(relay: &Relay, view: View) -> bool {
     let now_ms = relay.now_ms();
-    // What was read as it was some seconds ago counts as confirmed when it is known whose turn it is.
-    let learnt_ms = relay.knows(view).then_some(SETTLE_MS);
-    let Some(confirmed_ms) = relay.confirmed_ms(view).or(learnt_ms) else {
+    // The initial read may be some seconds stale; it counts as confirmed at the time when the rank is known.
+    let initial_read_ms = relay.knows(view).then_some(STARTUP_GRACE_MS);
+    let Some(confirmed_ms) = relay.confirmed_ms(view).or(initial_read_ms) else {
         return true;
     };
-    if now_ms < SETTLE_MS {
+    if now_ms < STARTUP_GRACE_MS {
         return false;
     }
     let limit_ms = confirm_timeout_ms(relay, view);
     limit_ms == 0 || confirmed_ms + limit_ms < now_ms
 }
 
-/// Whether others follow the store again, so that a box whose turn it is not can leave it to them.
-pub(crate) fn can_step_down(relay: &Relay, began_ms: u64) -> bool {
+/// Whether other boxes watch the store again, so that a box that is not elected can stop watching.
+pub(crate) fn can_step_down(relay: &Relay, started_ms: u64) -> bool {
     let last_seen_ms = relay.members.borrow().heard_follower_ms();
-    !is_elected(relay) && last_seen_ms > began_ms + CONFIRM_TIMEOUT_MS
+    !is_elected(relay) && last_seen_ms > started_ms + CONFIRM_TIMEOUT_MS
 }
 
-/// The views that a box follows at a moment.
+/// The views that a box currently watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FollowedViews {
     declarations: bool,
@@ -194,12 +198,12 @@
         }
     }
 
-    /// Whether there is any.
+    /// Whether any view is watched.
     pub(crate) fn any(self) -> bool {
         self.declarations || self.targets
     }
 
-    /// All of them.
+    /// The watched views.
     pub(crate) fn views(self) -> impl Iterator<Item = View> {
         let declarations = self.declarations.then_some(View::Declarations);
         let targets = self.targets.then_some(View::Targets);
@@ -207,7 +211,7 @@
     }
 }
 
-/// Notes that a box follows a view, for as long as this lives.
+/// Marks a view as watched by this box until it is dropped.
 pub(crate) struct FollowGuard {
     relay: Rc<Relay>,
     view: View,
--- a/components/relay/src/watch/entries.rs
+++ b/components/relay/src/watch/entries.rs
@@ -1,4 +1,4 @@
-//! What lies under the keys of targets, read: entries, their absence, and what names no target to use.
+//! Decodes the store's entries of targets into updates: registered, removed, or unusable.
 
 use crate::state::Relay;
 use crate::watch::targets::{Change, Missing, TargetRegistry};
@@ -7,18 +7,19 @@
 use routing::{TargetEntry, TargetLife};
 use store::{Versioned, WatchEvent};
 
-/// A change in the list of targets.
+/// An update of the list of targets.
 pub(crate) enum ListingUpdate {
-    /// An entry that names a target.
+    /// A valid entry.
     Listed(TargetEntry),
-    /// A name is listed no more: the name, and the version as of which.
+    /// No entry is left under this name, as of the version.
     Unlisted(Box<str>, Version),
-    /// The entry names no target to use: its name, the birth in it where that can be read, and its version.
+    /// The entry is unusable: its name, its incarnation if it can be parsed, and its version.
     Refused(Box<str>, Option<u64>, Version),
 }
 
 impl ListingUpdate {
-    /// Takes it in. Where the store has just come back, what is missing has time to come back too.
+    /// Applies the update. If the store has just recovered, a removed entry is only marked as missing until
+    /// `missing_until_ms`.
     pub(crate) fn apply(
         &self,
         targets: &mut TargetRegistry,
@@ -34,17 +35,17 @@
             (Self::Unlisted(instance, at), None) => targets.unlist(instance, *at),
             (Self::Refused(instance, None, at), _) => targets.unlist(instance, *at),
             (Self::Refused(instance, born_ms, at), _) => {
-                let life = TargetLife {
+                let incarnation = TargetLife {
                     instance: instance.clone(),
                     born_ms: *born_ms,
                 };
-                targets.unlist_incarnation(&life, *at)
+                targets.unlist_incarnation(&incarnation, *at)
             }
         }
     }
 }
 
-/// What lies under a key. What cannot be used is told once.
+/// Decodes the entry under a key. Each unusable entry is logged once.
 pub(crate) fn parse_entry(relay: &Relay, item: &Versioned) -> Option<ListingUpdate> {
     let mut refused = relay.refused_entries.borrow_mut();
     let error = match decode_target(&item.key, &item.value, item.version()) {
@@ -68,7 +69,7 @@
     ))
 }
 
-/// What an event of the watch on targets says.
+/// Decodes an event of the watch on targets.
 pub(crate) fn parse_event(relay: &Relay, event: WatchEvent) -> Option<ListingUpdate> {
     let Some(value) = event.value else {
         relay.refused_entries.borrow_mut().clear(&event.key);
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -1,6 +1,7 @@
-//! The platform's store may come back from a copy that is some seconds old: its era rises, what was written since is gone, and
-//! revisions are given out again. For a while what it says may be the copy's; operators and targets write again what they had
-//! written. Until then boxes go by what they knew where that withholds work, and by both where they differ.
+//! Recovery of the platform's store from a backup that is some seconds old. Its era rises, recent writes are lost,
+//! and revisions are assigned again. Until operators and targets have written their entries again, reads may return
+//! stale data of the backup. In that time boxes keep what they know if it withholds work, and combine both states
+//! where they differ.
 
 use crate::state::Relay;
 use crate::watch::targets::{TargetRegistry, TargetState};
@@ -10,41 +11,44 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long what the store says may be a copy's: the entry of a target that has ended since lapses after three missed heartbeats
-/// of 1.2 s, and what lives has written again by then.
+/// Time in ms during which the store may return stale data. An entry of a target that ended since the backup lapses
+/// after three missed heartbeats of 1.2 s, and live targets have written theirs again by then.
 const SETTLE_MS: u64 = 6_000;
-/// A box that hears of the era from another one settles so much sooner: it is told what the others read after they settled,
-/// and takes it in.
+/// A box that learns of the era from a peer settles this much earlier, so that it accepts what the others read once
+/// they have settled.
 const PEER_SETTLE_LEAD_MS: u64 = 1_000;
-/// Within this time boxes write their keys and records again: all at once would pass the store's rate where there are many.
+/// Boxes spread the rewrites of their keys and records over this time; all at once would exceed the store's rate in
+/// large fleets.
 const REWRITE_WINDOW: Duration = Duration::from_millis(5_000);
 
-/// Who said that the era rose.
+/// Where a new era was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EraSource {
-    /// The store.
+    /// In an answer of the store.
     Store,
-    /// Another box.
+    /// In a message of another box.
     Peer,
 }
 
 impl TargetRegistry {
-    /// The store's era rose: until then its list may be a copy's.
+    /// Records that the store's era rose; until `until_ms` its list may be stale.
     pub fn record_era_rise(&mut self, until_ms: u64) {
         self.settles_until_ms = Some(until_ms);
         for (slot, target) in &mut self.targets {
-            // The copy may say otherwise: from now on this is told to boxes that never read it.
+            // The backup may list the target as ready, so boxes that never read its leaving entry get a report of it
+            // from now on.
             target.leaving_reported |= target.state == TargetState::Leaving;
             self.index.update_leaving(slot, target);
         }
     }
 
-    /// Until when the list may be a copy's; none where it is not.
+    /// Until when the list may be stale; `None` if it isn't.
     pub(super) fn settling_until_ms(&self, now_ms: u64) -> Option<u64> {
         self.settles_until_ms.filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// Whether an entry is of a life that went in a previous era, and may stand in a copy only.
+    /// Whether an entry is of an incarnation that was removed in a previous era, so that it may only exist in the
+    /// stale backup.
     pub(super) fn may_be_stale(&self, entry: &TargetEntry, now_ms: u64) -> bool {
         if self.settling_until_ms(now_ms).is_none() {
             return false;
@@ -62,7 +66,8 @@
         }
     }
 
-    /// Notes that the list was read anew at a version. After the store has settled, other boxes are to compare theirs with it.
+    /// Records that the list was read at a version. The first read after the store has settled makes other boxes
+    /// compare their lists with it.
     pub(super) fn record_list_read(&mut self, version: Version, now_ms: u64) {
         let is_settled = self
             .settles_until_ms
@@ -75,18 +80,18 @@
 }
 
 impl Relay {
-    /// Whether what the store says may be a copy's.
+    /// Whether the store may return stale data.
     pub(crate) fn is_settling(&self) -> bool {
         let now_ms = self.now_ms();
         self.targets.borrow().settling_until_ms(now_ms).is_some()
     }
 
-    /// Notes the era of something that was said.
+    /// Records the era of a message or an answer.
     pub(crate) fn observe_era(self: &Rc<Self>, era: u32, source: EraSource) {
         let before = self.era_seen.get();
-        // Where no era is known to a peer, it tells 0.
-        let is_told = source == EraSource::Store || era > 0;
-        if !is_told || before.is_some_and(|before| era <= before) {
+        // A peer that knows no era reports 0.
+        let has_era = source == EraSource::Store || era > 0;
+        if !has_era || before.is_some_and(|before| era <= before) {
             return;
         }
         self.era_seen.set(Some(era));
@@ -116,14 +121,14 @@
             "kept_evacuations" => self.evacuation.borrow().known().data_centres.len(),
             "kept_withheld_requests" => withheld);
         metrics::counter!("shuntpier_store_era_rises").increment(1);
-        // Open watches are on a history that is no more.
+        // Open watches refer to a history that no longer exists.
         self.store_doubted.notify_waiters();
         tokio::task::spawn_local(settle(self.clone(), era, settle_ms));
         tokio::task::spawn_local(rewrite_records(self.clone()));
     }
 }
 
-/// Has this box read anew what it follows once the store has settled.
+/// Restarts this box's reads and watches once the store has settled.
 async fn settle(relay: Rc<Relay>, era: u32, settle_ms: u64) {
     sleep(Duration::from_millis(settle_ms)).await;
     if relay.era_seen.get() != Some(era) {
@@ -133,14 +138,14 @@
     relay.store_doubted.notify_waiters();
 }
 
-/// Writes this box's key and the records that it knows again.
+/// Writes this box's key and the records that it knows to the store again.
 async fn rewrite_records(relay: Rc<Relay>) {
     sleep(REWRITE_WINDOW.mul_f64(rand::random())).await;
     relay.begins_to_follow.notify_one();
     relay.keep_records_again();
 }
 
-/// Notes eras that this box hears of in answers to other calls than reads, for as long as it lives.
+/// Observes eras in answers to all calls of the store, for the lifetime of the box.
 pub(crate) async fn run_eras(relay: Rc<Relay>) {
     let mut eras = relay.store.subscribe_era();
     loop {
--- a/components/relay/src/watch/evacuation.rs
+++ b/components/relay/src/watch/evacuation.rs
@@ -1,5 +1,5 @@
-//! Data centres that operators have evacuated, on one box: since when, and how much of this box's work is still
-//! there. What follows from it for placement is decided in [`crate::watch::targets::TargetRegistry::takes_work`] alone.
+//! State of evacuated data centres on one box: start times and the requests that are still open there. Placement
+//! applies it in [`crate::watch::targets::TargetRegistry::takes_work`] alone.
 
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often it is looked how much is still there.
+/// How often the open requests in evacuated data centres are counted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One evacuated data centre.
+/// State of one evacuated data centre.
 #[derive(Clone, Copy, Debug)]
 struct Evacuated {
-    /// When this box learnt of it.
+    /// When this box learned of the evacuation, in ms since its start.
     since_ms: u64,
-    /// Nothing of this box's work is there any more, and that was said.
+    /// This box has no open requests there, and has logged that.
     is_empty: bool,
 }
 
-/// The data centres whose evacuation begins or ends with a change.
+/// Data centres whose evacuation begins or ends with an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct EvacuationDiff {
     begun: Vec<Box<str>>,
@@ -37,12 +37,12 @@
 }
 
 impl Evacuation {
-    /// As peers are told them.
+    /// The evacuations as sent to peers.
     pub(crate) fn known(&self) -> &Evacuations {
         &self.known
     }
 
-    /// Since when each data centre is known to be evacuated.
+    /// When this box learned of each evacuation.
     pub(crate) fn since_ms(&self) -> Vec<(Box<str>, u64)> {
         let evacuated = self.evacuated.iter();
         evacuated
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Changes what is known; none where the set stays.
+    /// Updates the known evacuations; returns `None` if the set stays the same.
     fn update(
         &mut self,
         now_ms: u64,
@@ -76,7 +76,7 @@
 }
 
 impl Relay {
-    /// Changes which evacuations are known, and acts on what changed. Says whether anything did.
+    /// Updates the known evacuations and applies the difference. Returns whether the set changed.
     pub(crate) fn update_evacuations(
         &self,
         source: &'static str,
@@ -107,7 +107,7 @@
         true
     }
 
-    /// Closes channels that rest at targets to which nothing more is sent.
+    /// Closes idle channels to targets in evacuated data centres.
     fn close_evacuated_channels(&self) {
         let targets = self.targets.borrow();
         let evacuated = targets
@@ -117,14 +117,14 @@
         evacuated.for_each(|(slot, _)| channels.close(slot));
     }
 
-    /// Whether a target stands in an evacuated data centre.
+    /// Whether a target is in an evacuated data centre.
     pub(crate) fn is_evacuated(&self, slot: TargetSlot) -> bool {
         let targets = self.targets.borrow();
         let target = targets.get(slot);
         target.is_some_and(|target| targets.is_evacuated(target))
     }
 
-    /// Requests that this box has open at targets of a data centre.
+    /// Number of requests that this box has open at targets of a data centre.
     pub(crate) fn open_requests_in(&self, data_centre: &str) -> u32 {
         let id = DataCentreId::from_name(data_centre);
         let targets = self.targets.borrow();
@@ -132,7 +132,7 @@
         there.map(|(_, target)| target.open).sum()
     }
 
-    /// Says of each evacuated data centre how much of this box's work is there, and once when nothing is left.
+    /// Exports this box's open requests in each evacuated data centre, and logs once when none are left.
     fn update_evacuation_progress(&self) {
         let evacuated = self.evacuation.borrow().evacuated.clone();
         for (name, state) in evacuated {
@@ -153,7 +153,7 @@
     }
 }
 
-/// Looks how much is still in evacuated data centres, for as long as the box lives.
+/// Updates the progress of evacuations periodically, for the lifetime of the box.
 pub(crate) async fn run_evacuation(relay: Rc<Relay>) {
     loop {
         sleep(CHECK_INTERVAL).await;
--- a/components/relay/src/watch/evacuation_tests.rs
+++ b/components/relay/src/watch/evacuation_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn says_what_begins_and_what_ends() {
+fn returns_begun_and_ended_evacuations() {
     let mut evacuation = Evacuation::default();
     let begun = evacuation.update(7, |known| known.ordered("east", true, Version::new(0, 3)));
     assert_eq!(begun, Some(changed(&["east"], &[])));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_evacuation_that_goes_on_keeps_its_time() {
+fn a_continuing_evacuation_keeps_its_start_time() {
     let mut evacuation = Evacuation::default();
     evacuation.update(7, |known| known.ordered("east", true, Version::new(0, 3)));
     evacuation.update(99, |known| known.ordered("west", true, Version::new(0, 4)));
--- a/components/relay/src/watch/incarnation.rs
+++ b/components/relay/src/watch/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a target as its entries tell of it: how it begins, goes on and is over.
+//! Lifecycle of one incarnation of a target as its entries report it.
 
 use crate::rate_limit::state::TargetRateLimit;
 use crate::watch::targets::{Target, TargetState};
@@ -6,12 +6,12 @@
 use prelude::DataCentreId;
 use routing::{TargetEntry, TargetPhase};
 
-/// A target that will be cold for so much longer than was known has turned cold anew; what is less is the spread of
-/// its own word.
+/// A target whose cold period grows by more than this has turned cold again; a smaller difference is jitter of its
+/// own reports.
 const COLD_EXTENSION_MIN_MS: u64 = 500;
 
 impl Target {
-    /// A life of which nothing is known but its entry.
+    /// An incarnation of which only the entry is known. `left`: it was seen to leave before.
     pub(super) fn new(entry: TargetEntry, left: bool, now_ms: u64) -> Self {
         let says_so = entry.phase == TargetPhase::Leaving;
         let leaves = left || says_so;
@@ -42,26 +42,26 @@
         target
     }
 
-    /// Has its entry say what is believed, so that peers are told the same.
+    /// Sets the phase of the entry to the believed state, so that peers receive it.
     pub(super) fn sync_entry_phase(&mut self) {
         if self.state == TargetState::Leaving {
             self.entry.phase = TargetPhase::Leaving;
         }
     }
 
-    /// Takes a newer entry of this life in. Says whether it turned cold by that.
+    /// Applies a newer entry of this incarnation. Returns whether the target turned cold.
     pub(super) fn update_entry(&mut self, entry: TargetEntry, now_ms: u64) -> bool {
         let leaving = entry.phase == TargetPhase::Leaving;
         let stays_left = self.was_leaving && (entry.born_ms.is_some() || self.announced_leaving);
-        let vanished = self.state == TargetState::Gone;
-        // A life that was seen to leave never takes work again; one that vanished may come back,
-        // as the platform drops entries while its store is in trouble.
+        let was_gone = self.state == TargetState::Gone;
+        // An incarnation that was seen to leave never takes work again. One that was removed may return, as entries
+        // lapse while the store has trouble.
         self.state = match (self.state, leaving || stays_left) {
             (TargetState::Leaving, _) | (_, true) => TargetState::Leaving,
             _ => TargetState::Ready,
         };
         self.missing = None;
-        self.leaving_reported = !leaving && (self.leaving_reported || (vanished && stays_left));
+        self.leaving_reported = !leaving && (self.leaving_reported || (was_gone && stays_left));
         self.was_leaving = self.state == TargetState::Leaving;
         let cold_until_ms = now_ms + u64::from(entry.cold_left_ms);
         let turned_cold =
@@ -75,10 +75,10 @@
         turned_cold
     }
 
-    /// Notes that a new life has begun under its name, and says whether that is news of it.
+    /// Marks the incarnation as gone after a newer one started. Returns whether that is a change.
     pub(super) fn mark_gone(&mut self) -> bool {
-        let was = std::mem::replace(&mut self.state, TargetState::Gone);
+        let previous_state = std::mem::replace(&mut self.state, TargetState::Gone);
         self.missing = None;
-        was != TargetState::Gone
+        previous_state != TargetState::Gone
     }
 }
--- a/components/relay/src/watch/index.rs
+++ b/components/relay/src/watch/index.rs
@@ -1,25 +1,25 @@
-//! By what targets are found without a pass over all of them: their services, and what holds for few of them.
+//! Index of targets by service and by rare state, which avoids scans over all targets.
 
 use crate::watch::targets::{Target, TargetSlot};
 use std::collections::{BTreeSet, HashMap};
 
-/// What targets are found by. A set may name targets that have changed since: whoever reads it looks at each.
+/// Sets of targets. They may contain targets that have changed since, so readers check each one.
 #[derive(Debug, Default)]
 pub(super) struct TargetIndex {
     by_service: HashMap<Box<str>, BTreeSet<TargetSlot>>,
-    /// Those that leave by their own word.
+    /// Leaving targets whose leaving the store has not reported.
     pub leaving: BTreeSet<TargetSlot>,
-    /// Those whose entries are missing in a store that has just come back.
+    /// Targets whose entries are missing in a store that has just recovered.
     pub missing: BTreeSet<TargetSlot>,
-    /// Those that failed a generation, on the box that dispatches to them.
+    /// Targets that failed a generation, on the box that dispatches to them.
     pub on_probation: BTreeSet<TargetSlot>,
-    /// Those of which something holds for a time: they are cold, on trial, or failed this box.
+    /// Targets with transient state: cold, on probation, rate limited, or with recent failures.
     pub transient: BTreeSet<TargetSlot>,
-    /// Those that asked this box for a pause.
+    /// Targets that asked this box for a pause.
     pub backing_off: BTreeSet<TargetSlot>,
-    /// Those that announce a rate limit.
+    /// Targets that announce a rate limit.
     pub rate_limited: BTreeSet<TargetSlot>,
-    /// Those that have requests of this box.
+    /// Targets with open requests of this box.
     pub in_use: BTreeSet<TargetSlot>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Notes that a target has another service than it had.
+    /// Removes a target from the index of a service.
     pub fn remove_from_service(&mut self, slot: TargetSlot, service: &str) {
         if let Some(slots) = self.by_service.get_mut(service) {
             slots.remove(&slot);
@@ -68,7 +68,7 @@
         self.by_service.get(service).map_or(0, BTreeSet::len)
     }
 
-    /// The targets of a service, in the order of the arena.
+    /// The targets of a service, in the order of their slots.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = TargetSlot> + '_ {
         self.by_service.get(service).into_iter().flatten().copied()
     }
--- a/components/relay/src/watch/leaving.rs
+++ b/components/relay/src/watch/leaving.rs
@@ -1,17 +1,16 @@
-//! Which lives leave by their own word, and what peers say of that.
+//! Leaving incarnations that targets announce themselves or peers report.
 
 use crate::watch::targets::{Change, Target, TargetRegistry, TargetSlot, TargetState};
 use routing::TargetLife;
 
 impl TargetRegistry {
-    /// Believes a target that says itself that it leaves. No entry takes that back, whatever it says and whenever it was
-    /// written.
+    /// Records that a target announced its leaving itself. No entry reverts that, whatever its content or version.
     pub fn record_leaving_announcement(&mut self, slot: TargetSlot) -> Option<Change> {
         self.targets.get_mut(slot)?.announced_leaving = true;
         self.mark_leaving(slot)
     }
 
-    /// Believes that a target leaves, by its own word, a peer's, or because nothing listens there.
+    /// Marks a target as leaving: it announced it, a peer reported it, or nothing listens at its address.
     pub fn mark_leaving(&mut self, slot: TargetSlot) -> Option<Change> {
         let target = self.targets.get_mut(slot)?;
         target.was_leaving = true;
@@ -25,31 +24,34 @@
         Some(Change::Leaving(slot))
     }
 
-    /// The lives that leave by their own word. What the store says of leaving travels with its changes.
+    /// Leaving incarnations that the store has not reported. Those in the store are broadcast with its other changes.
     pub fn leaving(&self) -> Vec<TargetLife> {
         let leaves = |t: &&Target| t.state == TargetState::Leaving && t.leaving_reported;
-        let told = self.resolve(self.index.leaving.iter().copied());
-        let leaving = told.map(|(_, target)| target).filter(leaves);
+        let reported = self.resolve(self.index.leaving.iter().copied());
+        let leaving = reported.map(|(_, target)| target).filter(leaves);
         leaving.map(|target| target.entry.life()).collect()
     }
 
-    /// Believes a peer's word on which lives leave. A life that is not known yet is taken for leaving once it is listed.
-    pub fn apply_leaving(&mut self, lives: &[TargetLife]) -> Vec<Change> {
-        let told = lives.iter().filter_map(|life| self.apply_leaving_one(life));
-        told.collect()
+    /// Applies a peer's report of leaving incarnations. An incarnation that is not known yet becomes leaving as soon
+    /// as it is listed.
+    pub fn apply_leaving(&mut self, incarnations: &[TargetLife]) -> Vec<Change> {
+        let reported = incarnations
+            .iter()
+            .filter_map(|incarnation| self.apply_leaving_one(incarnation));
+        reported.collect()
     }
 
-    fn apply_leaving_one(&mut self, life: &TargetLife) -> Option<Change> {
-        if life.born_ms < self.tombstone_of(life).born_ms {
+    fn apply_leaving_one(&mut self, incarnation: &TargetLife) -> Option<Change> {
+        if incarnation.born_ms < self.tombstone_of(incarnation).born_ms {
             return None;
         }
-        let known = self.newest(&life.instance);
+        let known = self.newest(&incarnation.instance);
         match known.map(|(slot, target)| (slot, target.entry.born_ms)) {
-            Some((slot, born_ms)) if born_ms == life.born_ms => self.mark_leaving(slot),
-            Some((_, born_ms)) if born_ms > life.born_ms => None,
+            Some((slot, born_ms)) if born_ms == incarnation.born_ms => self.mark_leaving(slot),
+            Some((_, born_ms)) if born_ms > incarnation.born_ms => None,
             _ => {
-                self.record_incarnation(life, true);
-                self.end_older_incarnation(life)
+                self.record_incarnation(incarnation, true);
+                self.end_older_incarnation(incarnation)
             }
         }
     }
--- a/components/relay/src/watch/listing.rs
+++ b/components/relay/src/watch/listing.rs
@@ -1,5 +1,5 @@
-//! How the store's words on lives are taken in: entries and lists. A word of a previous life changes
-//! nothing, however late it comes and whatever its version is.
+//! Applies the store's entries and lists to the registry. Updates of a previous incarnation never change the newest
+//! one, whatever their order and version.
 
 use crate::watch::targets::{Change, Missing, Target, TargetRegistry, TargetSlot, TargetState};
 use crate::watch::tombstones::Tombstone;
@@ -8,58 +8,58 @@
 use std::collections::HashSet;
 
 impl TargetRegistry {
-    /// The newest life under a name.
+    /// The newest incarnation under a name.
     pub(super) fn newest(&self, instance: &str) -> Option<(TargetSlot, &Target)> {
         let slot = *self.by_instance.get(instance)?;
         Some((slot, self.targets.get(slot)?))
     }
 
-    /// What is known of a name whose lives are not listed any more.
-    pub(super) fn tombstone_of(&self, life: &TargetLife) -> Tombstone {
-        match life.born_ms {
-            Some(_) => self.tombstones.get(&life.instance),
-            // Where names are not used again, a name says all.
+    /// The tombstone of an incarnation's name; empty if there is none.
+    pub(super) fn tombstone_of(&self, incarnation: &TargetLife) -> Tombstone {
+        match incarnation.born_ms {
+            Some(_) => self.tombstones.get(&incarnation.instance),
+            // Without a birth time, names are not reused, so the name alone identifies the incarnation.
             None => Tombstone {
-                born_ms: self.tombstones.get(&life.instance).born_ms,
+                born_ms: self.tombstones.get(&incarnation.instance).born_ms,
                 ..Tombstone::default()
             },
         }
     }
 
-    pub(super) fn record_incarnation(&mut self, life: &TargetLife, leaves: bool) {
-        if life.born_ms.is_some() {
-            self.tombstones.record_incarnation(life, leaves);
+    pub(super) fn record_incarnation(&mut self, incarnation: &TargetLife, leaves: bool) {
+        if incarnation.born_ms.is_some() {
+            self.tombstones.record_incarnation(incarnation, leaves);
         }
     }
 
-    /// Takes the entry of one target in.
+    /// Applies the entry of one target.
     pub fn apply_entry(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
-        let life = entry.life();
-        let tombstone = self.tombstone_of(&life);
-        if life.born_ms < tombstone.born_ms || self.may_be_stale(&entry, now_ms) {
+        let incarnation = entry.life();
+        let tombstone = self.tombstone_of(&incarnation);
+        if incarnation.born_ms < tombstone.born_ms || self.may_be_stale(&entry, now_ms) {
             return None;
         }
-        let newest = self.newest(&life.instance);
+        let newest = self.newest(&incarnation.instance);
         let known = newest.map(|(slot, target)| (slot, target.entry.born_ms));
         match known {
-            Some((_, born_ms)) if life.born_ms < born_ms => None,
-            Some((slot, born_ms)) if life.born_ms == born_ms => {
+            Some((_, born_ms)) if incarnation.born_ms < born_ms => None,
+            Some((slot, born_ms)) if incarnation.born_ms == born_ms => {
                 self.apply_newer_entry(slot, entry, now_ms)
             }
             _ if entry.version < tombstone.unlisted_at => {
-                self.record_incarnation(&life, entry.phase == TargetPhase::Leaving);
-                self.end_older_incarnation(&life)
+                self.record_incarnation(&incarnation, entry.phase == TargetPhase::Leaving);
+                self.end_older_incarnation(&incarnation)
             }
             Some((previous, _)) => {
-                let was_known = self
+                let was_listed = self
                     .targets
                     .get_mut(previous)
                     .is_some_and(Target::mark_gone);
-                let came = self.add_target(entry, now_ms);
-                let slot = *self.by_instance.get(&life.instance)?;
-                match was_known {
+                let added = self.add_target(entry, now_ms);
+                let slot = *self.by_instance.get(&incarnation.instance)?;
+                match was_listed {
                     true => Some(Change::Restarted { previous, slot }),
-                    false => came,
+                    false => added,
                 }
             }
             None => self.add_target(entry, now_ms),
@@ -77,27 +77,27 @@
         if version < target.entry.version {
             return None;
         }
-        let was = target.state;
+        let old_state = target.state;
         let service = target.entry.service.clone();
         let turned_cold = target.update_entry(entry, now_ms);
-        let now = target.state;
+        let new_state = target.state;
         self.reindex(slot, &service);
-        if was == now && !(turned_cold && now == TargetState::Ready) {
+        if old_state == new_state && !(turned_cold && new_state == TargetState::Ready) {
             return None;
         }
         self.changed_at = self.changed_at.max(version);
-        Some(match now {
-            TargetState::Ready if was == now => Change::TurnedCold(slot),
+        Some(match new_state {
+            TargetState::Ready if old_state == new_state => Change::TurnedCold(slot),
             TargetState::Ready => Change::Added(slot),
             _ => Change::Leaving(slot),
         })
     }
 
     fn add_target(&mut self, entry: TargetEntry, now_ms: u64) -> Option<Change> {
-        let life = entry.life();
+        let incarnation = entry.life();
         self.changed_at = self.changed_at.max(entry.version);
-        let tombstone = self.tombstone_of(&life);
-        let left = tombstone.was_leaving && tombstone.born_ms == life.born_ms;
+        let tombstone = self.tombstone_of(&incarnation);
+        let left = tombstone.was_leaving && tombstone.born_ms == incarnation.born_ms;
         let target = Target::new(entry, left, now_ms);
         let state = target.state;
         let slot = self.insert(target);
@@ -107,17 +107,17 @@
         })
     }
 
-    /// Notes that a life was heard of that is newer than what is kept under its name.
-    pub(super) fn end_older_incarnation(&mut self, life: &TargetLife) -> Option<Change> {
-        let (slot, target) = self.newest(&life.instance)?;
-        if target.entry.born_ms >= life.born_ms {
+    /// Ends the incarnation kept under the name if `incarnation` is newer.
+    pub(super) fn end_older_incarnation(&mut self, incarnation: &TargetLife) -> Option<Change> {
+        let (slot, target) = self.newest(&incarnation.instance)?;
+        if target.entry.born_ms >= incarnation.born_ms {
             return None;
         }
-        let was_known = self.targets.get_mut(slot).is_some_and(Target::mark_gone);
-        was_known.then_some(Change::Removed(slot))
+        let was_listed = self.targets.get_mut(slot).is_some_and(Target::mark_gone);
+        was_listed.then_some(Change::Removed(slot))
     }
 
-    /// Notes that no target of a name is listed any more.
+    /// Records that a name is no longer listed.
     pub fn unlist(&mut self, instance: &str, version: Version) -> Option<Change> {
         self.tombstones.record_unlisted(instance, version);
         let (slot, _) = self.newest(instance)?;
@@ -132,22 +132,28 @@
         Some(Change::Removed(slot))
     }
 
-    /// Notes that a life is listed no more. A newer one under its name is not concerned.
-    pub fn unlist_incarnation(&mut self, life: &TargetLife, version: Version) -> Option<Change> {
-        self.record_incarnation(life, false);
-        let newest = self.newest(&life.instance).map(|(_, t)| t.entry.born_ms);
-        let newest = newest.unwrap_or_else(|| self.tombstone_of(life).born_ms);
-        match life.born_ms < newest {
+    /// Records that an incarnation is no longer listed. A newer one under its name stays as it is.
+    pub fn unlist_incarnation(
+        &mut self,
+        incarnation: &TargetLife,
+        version: Version,
+    ) -> Option<Change> {
+        self.record_incarnation(incarnation, false);
+        let newest = self
+            .newest(&incarnation.instance)
+            .map(|(_, t)| t.entry.born_ms);
+        let newest = newest.unwrap_or_else(|| self.tombstone_of(incarnation).born_ms);
+        match incarnation.born_ms < newest {
             true => None,
             false => {
-                let went = self.unlist(&life.instance, version);
-                went.or_else(|| self.end_older_incarnation(life))
+                let removed = self.unlist(&incarnation.instance, version);
+                removed.or_else(|| self.end_older_incarnation(incarnation))
             }
         }
     }
 
-    /// Notes that the entry of a target that takes work is missing in a store that has just come back, or that it is
-    /// listed no more.
+    /// Records that an entry is missing in a store that has just recovered. A target that takes work gets a grace
+    /// period; any other is removed.
     pub fn mark_missing(&mut self, instance: &str, missing: Missing) -> Option<Change> {
         let (slot, _) = self.newest(instance)?;
         let target = self.targets.get_mut(slot)?;
@@ -159,7 +165,8 @@
         None
     }
 
-    /// The names whose entries are still missing after the time that they had, with the version of that.
+    /// Names whose entries are still missing at the end of the grace period, each with the version at which it was
+    /// missing.
     pub fn expired_missing(&mut self, now_ms: u64) -> Vec<(Box<str>, Version)> {
         let targets = &self.targets;
         let is_missing =
@@ -175,8 +182,8 @@
         missing.collect()
     }
 
-    /// Takes a whole list in, as it was at `version`. Where the store has just come back, entries that are missing
-    /// have until `missing_until_ms` to be written again.
+    /// Applies a complete list as of `version`. If the store has just recovered, missing entries have until
+    /// `missing_until_ms` to be written again.
     pub fn replace(
         &mut self,
         entries: Vec<TargetEntry>,
@@ -187,8 +194,8 @@
         self.replace_subset(entries, &|_| true, version, missing_until_ms, now_ms)
     }
 
-    /// The same for a part of the list: the targets whose names `is_in`. A name that is listed with a previous life only
-    /// is not missing: its newest life is as it was.
+    /// Like [`Self::replace`] for the part of the list that `is_in` selects by name. A name that is listed with a
+    /// previous incarnation only does not count as missing, and its newest incarnation stays as it is.
     pub(crate) fn replace_subset(
         &mut self,
         entries: Vec<TargetEntry>,
@@ -197,7 +204,7 @@
         missing_until_ms: Option<u64>,
         now_ms: u64,
     ) -> Vec<Change> {
-        // A copy lacks what came since: it is written again, if it lives.
+        // A stale backup does not contain recent entries; live targets write them again.
         let missing_until_ms = missing_until_ms.max(self.settling_until_ms(now_ms));
         let listed: HashSet<Box<str>> = entries.iter().map(|e| e.instance.clone()).collect();
         let mut changes: Vec<Change> = Vec::new();
--- a/components/relay/src/watch/listing_order_tests.rs
+++ b/components/relay/src/watch/listing_order_tests.rs
@@ -1,14 +1,14 @@
-//! Lives of one name, whatever the order in which words of them come, against a plain model of what was said.
+//! Updates of the incarnations of one name in any order, checked against a simple model.
 
 use super::tests::at as at_revision;
-use super::tests::{NAME, entry, life};
+use super::tests::{NAME, entry, incarnation};
 use super::*;
 use proptest::prelude::*;
 
-/// The revision before all changes.
+/// The revision before all writes.
 const BEFORE: u64 = 10;
 
-/// What is written under the name, in the order of revisions.
+/// A write under the name. Writes are ordered by revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Write {
     Put { born: u64, leaves: bool },
@@ -16,44 +16,44 @@
     Unreadable,
 }
 
-/// What targets do, drawn freely.
+/// Random actions of targets.
 #[derive(Clone, Copy, Debug)]
-enum Deed {
-    Beat,
+enum TargetAction {
+    Heartbeat,
     Leave,
     Restart,
     Remove,
-    Garble,
-    /// A previous process writes, late.
+    Corrupt,
+    /// A previous process writes late, this many incarnations back.
     LateWrite(u64),
 }
 
-fn writes(deeds: &[Deed]) -> Vec<Write> {
+fn writes(actions: &[TargetAction]) -> Vec<Write> {
     let (mut born, mut left) = (1, HashSet::new());
     let mut written = vec![Write::Put {
         born,
         leaves: false,
     }];
-    for deed in deeds {
-        let by = match deed {
-            Deed::Remove => {
+    for action in actions {
+        let by = match action {
+            TargetAction::Remove => {
                 written.push(Write::Removed);
                 continue;
             }
-            Deed::Garble => {
+            TargetAction::Corrupt => {
                 written.push(Write::Unreadable);
                 continue;
             }
-            Deed::Restart if born < 3 => {
+            TargetAction::Restart if born < 3 => {
                 born += 1;
                 born
             }
-            Deed::Leave => {
+            TargetAction::Leave => {
                 left.insert(born);
                 born
             }
-            Deed::LateWrite(back) => born.saturating_sub(*back).max(1),
-            Deed::Restart | Deed::Beat => born,
+            TargetAction::LateWrite(back) => born.saturating_sub(*back).max(1),
+            TargetAction::Restart | TargetAction::Heartbeat => born,
         };
         let leaves = left.contains(&by);
         written.push(Write::Put { born: by, leaves });
@@ -61,41 +61,41 @@
     written
 }
 
-/// What a box hears. Positions are taken modulo what there is.
+/// An input of the registry. Indexes are taken modulo the number of items.
 #[derive(Clone, Copy, Debug)]
-enum Word {
-    /// The watch tells a change.
+enum Input {
+    /// The watch reports a write.
     Event(usize),
-    /// A peer tells it.
-    Told(usize),
-    /// The whole list, as it was after a change.
+    /// A peer reports a write.
+    PeerUpdate(usize),
+    /// The complete list as it was after a write.
     List(usize),
-    /// A peer says that a life leaves.
+    /// A peer reports that an incarnation leaves.
     Leaving(u64),
-    /// A request is sent to the newest life, or one ends.
+    /// A request to the newest incarnation starts, or one ends.
     Opened,
     Closed(usize),
-    /// The target of a request says that it leaves, or is dead.
-    Answered(usize),
-    /// It failed.
+    /// The target of a request replies that it leaves, or is dead.
+    LeavingReply(usize),
+    /// The target of a request fails.
     Failed(usize),
 }
 
-/// A book, and what it was told so far.
-struct Heard {
+/// A registry with the facts that it received so far.
+struct ModelledBox {
     written: Vec<Write>,
-    book: TargetRegistry,
+    registry: TargetRegistry,
     /// Targets of open requests.
     open: Vec<TargetSlot>,
     newest: u64,
     left: HashSet<u64>,
 }
 
-impl Heard {
+impl ModelledBox {
     fn new(written: &[Write]) -> Self {
         Self {
             written: written.to_vec(),
-            book: TargetRegistry::default(),
+            registry: TargetRegistry::default(),
             open: Vec::new(),
             newest: 0,
             left: HashSet::new(),
@@ -111,175 +111,190 @@
     }
 
     fn newest_slot(&self) -> Option<TargetSlot> {
-        self.book.newest(NAME).map(|(slot, _)| slot)
+        self.registry.newest(NAME).map(|(slot, _)| slot)
     }
 
-    /// Who holds the name as of a change, where anyone does.
-    fn holder(&self, at: usize) -> Option<TargetEntry> {
+    /// The entry under the name after a write, if there is one.
+    fn current_entry(&self, at: usize) -> Option<TargetEntry> {
         match self.written[at] {
             Write::Put { born, leaves } => Some(entry(NAME, born, leaves, Self::revision(at))),
             Write::Removed | Write::Unreadable => None,
         }
     }
 
-    fn heard_of(&mut self, told: Option<&TargetEntry>) {
-        let Some(told) = told else {
+    fn record_expected(&mut self, update: Option<&TargetEntry>) {
+        let Some(update) = update else {
             return;
         };
-        let born = told.born_ms.unwrap();
+        let born = update.born_ms.unwrap();
         self.newest = self.newest.max(born);
-        if told.phase == TargetPhase::Leaving {
+        if update.phase == TargetPhase::Leaving {
             self.left.insert(born);
         }
     }
 
-    /// The life that held the name last before a change, as a peer names it.
-    fn previous(&self, at: usize) -> TargetLife {
+    /// The newest incarnation written before a write, as a peer names it.
+    fn previous_incarnation(&self, at: usize) -> TargetLife {
         let before = self.written[..at].iter().filter_map(|write| match write {
             Write::Put { born, .. } => Some(*born),
             _ => None,
         });
-        life(before.max().unwrap_or(1))
+        incarnation(before.max().unwrap_or(1))
     }
 
     fn list(&mut self, at: usize) {
-        let holder = self.holder(at);
-        self.heard_of(holder.as_ref());
+        let current_entry = self.current_entry(at);
+        self.record_expected(current_entry.as_ref());
         let revision = Self::revision(at);
         let other = entry("b", 1, false, BEFORE - 1);
-        let entries = holder.into_iter().chain([other]).collect();
-        let changes = self.book.replace(entries, at_revision(revision), None, 0);
-        self.act(changes);
+        let entries = current_entry.into_iter().chain([other]).collect();
+        let changes = self
+            .registry
+            .replace(entries, at_revision(revision), None, 0);
+        self.handle_changes(changes);
     }
 
-    /// Does what a box does with changes.
-    fn act(&mut self, changes: impl IntoIterator<Item = Change>) {
+    /// Does what a box does on changes.
+    fn handle_changes(&mut self, changes: impl IntoIterator<Item = Change>) {
         for change in changes {
             match change {
-                Change::Leaving(slot) | Change::Removed(slot) => self.book.remove_if_idle(slot),
-                Change::Restarted { previous, .. } => self.book.remove_if_idle(previous),
+                Change::Leaving(slot) | Change::Removed(slot) => self.registry.remove_if_idle(slot),
+                Change::Restarted { previous, .. } => self.registry.remove_if_idle(previous),
                 Change::Added(_) | Change::TurnedCold(_) => {}
             }
         }
     }
 
-    fn hear(&mut self, word: Word) {
+    fn apply_input(&mut self, input: Input) {
         let pick = |at: usize, of: usize| at % of.max(1);
-        match word {
-            Word::Event(at) => {
+        match input {
+            Input::Event(at) => {
                 let at = pick(at, self.written.len());
-                let told = self.holder(at);
-                self.heard_of(told.as_ref());
-                let change = match told {
-                    Some(told) => self.book.apply_entry(told, 0),
-                    None => self.book.unlist(NAME, at_revision(Self::revision(at))),
+                let update = self.current_entry(at);
+                self.record_expected(update.as_ref());
+                let change = match update {
+                    Some(update) => self.registry.apply_entry(update, 0),
+                    None => self.registry.unlist(NAME, at_revision(Self::revision(at))),
                 };
-                self.act(change);
+                self.handle_changes(change);
             }
-            Word::Told(at) => {
+            Input::PeerUpdate(at) => {
                 let at = pick(at, self.written.len());
-                let told = self.holder(at);
-                self.heard_of(told.as_ref());
-                let change = match told {
-                    Some(told) => self.book.apply_entry(told, 0),
+                let update = self.current_entry(at);
+                self.record_expected(update.as_ref());
+                let change = match update {
+                    Some(update) => self.registry.apply_entry(update, 0),
                     None => {
-                        let previous = self.previous(at);
+                        let previous = self.previous_incarnation(at);
                         self.newest = self.newest.max(previous.born_ms.unwrap());
-                        self.book
+                        self.registry
                             .unlist_incarnation(&previous, at_revision(Self::revision(at)))
                     }
                 };
-                self.act(change);
+                self.handle_changes(change);
             }
-            Word::List(at) => self.list(pick(at, self.written.len())),
-            Word::Leaving(born) => {
+            Input::List(at) => self.list(pick(at, self.written.len())),
+            Input::Leaving(born) => {
                 self.newest = self.newest.max(born);
                 self.left.insert(born);
-                let changes = self.book.apply_leaving(&[life(born)]);
-                self.act(changes);
+                let changes = self.registry.apply_leaving(&[incarnation(born)]);
+                self.handle_changes(changes);
             }
-            Word::Opened => {
+            Input::Opened => {
                 if let Some(slot) = self.newest_slot() {
-                    self.book.record_open(slot);
+                    self.registry.record_open(slot);
                     self.open.push(slot);
                 }
             }
-            Word::Closed(_) | Word::Answered(_) | Word::Failed(_) if self.open.is_empty() => {}
-            Word::Closed(at) => {
+            Input::Closed(_) | Input::LeavingReply(_) | Input::Failed(_)
+                if self.open.is_empty() => {}
+            Input::Closed(at) => {
                 let slot = self.open.swap_remove(pick(at, self.open.len()));
-                self.book.record_close(slot);
+                self.registry.record_close(slot);
             }
-            Word::Answered(at) => {
+            Input::LeavingReply(at) => {
                 let slot = self.open[pick(at, self.open.len())];
-                if let Some(target) = self.book.get(slot) {
+                if let Some(target) = self.registry.get(slot) {
                     self.left.insert(target.entry.born_ms.unwrap());
                 }
-                let change = self.book.mark_leaving(slot);
-                self.act(change);
+                let change = self.registry.mark_leaving(slot);
+                self.handle_changes(change);
             }
-            Word::Failed(at) => {
+            Input::Failed(at) => {
                 let slot = self.open[pick(at, self.open.len())];
-                self.book.get_mut(slot).unwrap().outlier.record_failure(0);
+                self.registry
+                    .get_mut(slot)
+                    .unwrap()
+                    .outlier
+                    .record_failure(0);
             }
         }
     }
 
-    /// The life of which a word is, where it names one.
-    fn is_of(&self, word: Word) -> Option<u64> {
-        match word {
-            Word::Event(at) => self.holder(at % self.written.len())?.born_ms,
-            Word::Told(at) => {
+    /// The incarnation that an input refers to, if any.
+    fn incarnation_of(&self, input: Input) -> Option<u64> {
+        match input {
+            Input::Event(at) => self.current_entry(at % self.written.len())?.born_ms,
+            Input::PeerUpdate(at) => {
                 let at = at % self.written.len();
-                let previous = || self.previous(at).born_ms;
-                self.holder(at).map_or_else(previous, |told| told.born_ms)
+                let previous = || self.previous_incarnation(at).born_ms;
+                self.current_entry(at)
+                    .map_or_else(previous, |update| update.born_ms)
             }
-            Word::Leaving(born) => Some(born),
-            Word::Closed(at) | Word::Answered(at) | Word::Failed(at) => {
+            Input::Leaving(born) => Some(born),
+            Input::Closed(at) | Input::LeavingReply(at) | Input::Failed(at) => {
                 let slot = self.open.get(at % self.open.len().max(1))?;
-                self.book.get(*slot)?.entry.born_ms
+                self.registry.get(*slot)?.entry.born_ms
             }
-            Word::List(_) | Word::Opened => None,
+            Input::List(_) | Input::Opened => None,
         }
     }
 
-    /// All that is kept of the newest life.
-    fn kept(&self) -> String {
-        let newest = self.book.newest(NAME);
-        let kept = newest.filter(|(_, target)| target.entry.born_ms == Some(self.newest));
-        format!("{kept:?}")
+    /// Debug output of all state of the newest incarnation.
+    fn newest_debug(&self) -> String {
+        let newest = self.registry.newest(NAME);
+        let newest_debug = newest.filter(|(_, target)| target.entry.born_ms == Some(self.newest));
+        format!("{newest_debug:?}")
     }
 
-    /// Who takes work under the name.
-    fn takers(&self) -> Vec<u64> {
-        let own = |target: &&Target| &*target.entry.instance == NAME;
-        let targets = self.book.all().map(|(_, target)| target).filter(own);
-        let takers = targets.filter(|target| self.book.takes_work(target));
-        takers.map(|t| t.entry.born_ms.unwrap()).collect()
+    /// Births of the incarnations that take work under the name.
+    fn accepting_births(&self) -> Vec<u64> {
+        let has_name = |target: &&Target| &*target.entry.instance == NAME;
+        let targets = self
+            .registry
+            .all()
+            .map(|(_, target)| target)
+            .filter(has_name);
+        let accepting_births = targets.filter(|target| self.registry.takes_work(target));
+        accepting_births.map(|t| t.entry.born_ms.unwrap()).collect()
     }
 
-    fn is_right(&self) -> Result<(), TestCaseError> {
-        let takers = self.takers();
-        prop_assert!(takers.len() <= 1, "{takers:?} take work at one time");
-        for born in takers {
-            prop_assert_eq!(born, self.newest, "a previous life takes work");
-            prop_assert!(!self.left.contains(&born), "{} left, and takes work", born);
+    fn check_invariants(&self) -> Result<(), TestCaseError> {
+        let accepting_births = self.accepting_births();
+        prop_assert!(
+            accepting_births.len() <= 1,
+            "{accepting_births:?} take work at one time"
+        );
+        for born in accepting_births {
+            prop_assert_eq!(born, self.newest, "a previous incarnation takes work");
+            prop_assert!(!self.left.contains(&born), "{} left and takes work", born);
         }
         Ok(())
     }
 
-    /// Takes in what a box with another book tells that differs from this one: one message has all of it.
-    fn take_from(&mut self, other: &Self, revision: u64) {
-        if let Some(patch) = other.book.patch_for(&self.book.summary(), 0) {
-            let changes = self.book.apply_patch(patch, at_revision(revision), 0);
-            self.act(changes);
+    /// Applies the differences to another box's registry in one message.
+    fn sync_from(&mut self, other: &Self, revision: u64) {
+        if let Some(patch) = other.registry.patch_for(&self.registry.summary(), 0) {
+            let changes = self.registry.apply_patch(patch, at_revision(revision), 0);
+            self.handle_changes(changes);
         }
-        let changes = self.book.apply_leaving(&other.book.leaving());
-        self.act(changes);
+        let changes = self.registry.apply_leaving(&other.registry.leaving());
+        self.handle_changes(changes);
     }
 
-    /// What is listed, with the lives and whether they leave.
+    /// The listed names with their births and states.
     fn listed(&self) -> Vec<(Box<str>, Option<u64>, TargetState)> {
-        let targets = self.book.all().map(|(_, target)| target);
+        let targets = self.registry.all().map(|(_, target)| target);
         let listed = targets.filter(|target| target.state != TargetState::Gone);
         let row = |t: &Target| (t.entry.instance.clone(), t.entry.born_ms, t.state);
         let mut rows: Vec<_> = listed.map(row).collect();
@@ -288,89 +303,88 @@
     }
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn action() -> impl Strategy<Value = TargetAction> {
     prop_oneof![
-        1 => Just(Deed::Beat),
-        1 => Just(Deed::Leave),
-        3 => Just(Deed::Restart),
-        1 => Just(Deed::Remove),
-        1 => Just(Deed::Garble),
-        1 => (1..3_u64).prop_map(Deed::LateWrite),
+        1 => Just(TargetAction::Heartbeat),
+        1 => Just(TargetAction::Leave),
+        3 => Just(TargetAction::Restart),
+        1 => Just(TargetAction::Remove),
+        1 => Just(TargetAction::Corrupt),
+        1 => (1..3_u64).prop_map(TargetAction::LateWrite),
     ]
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn input() -> impl Strategy<Value = Input> {
     prop_oneof![
-        4 => any::<usize>().prop_map(Word::Event),
-        3 => any::<usize>().prop_map(Word::Told),
-        2 => any::<usize>().prop_map(Word::List),
-        1 => (1..=3_u64).prop_map(Word::Leaving),
-        3 => Just(Word::Opened),
-        2 => any::<usize>().prop_map(Word::Closed),
-        1 => any::<usize>().prop_map(Word::Answered),
-        1 => any::<usize>().prop_map(Word::Failed),
+        4 => any::<usize>().prop_map(Input::Event),
+        3 => any::<usize>().prop_map(Input::PeerUpdate),
+        2 => any::<usize>().prop_map(Input::List),
+        1 => (1..=3_u64).prop_map(Input::Leaving),
+        3 => Just(Input::Opened),
+        2 => any::<usize>().prop_map(Input::Closed),
+        1 => any::<usize>().prop_map(Input::LeavingReply),
+        1 => any::<usize>().prop_map(Input::Failed),
     ]
 }
 
-fn deeds() -> impl Strategy<Value = Vec<Deed>> {
-    prop::collection::vec(deed(), 1..10)
+fn actions() -> impl Strategy<Value = Vec<TargetAction>> {
+    prop::collection::vec(action(), 1..10)
 }
 
-fn words() -> impl Strategy<Value = Vec<Word>> {
-    prop::collection::vec(word(), 0..30)
+fn inputs() -> impl Strategy<Value = Vec<Input>> {
+    prop::collection::vec(input(), 0..30)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
-    /// Whatever the order of words, no life that left and no previous life takes work, words of previous lives change
-    /// nothing of the newest, and after the last list its state is what was said of it.
+    /// Whatever the order of inputs, only the newest incarnation takes work, and not if it left. Inputs of previous
+    /// incarnations do not change the newest one, and after the last list its state matches the model.
     #[test]
-    fn the_newest_life_is_believed_right_whatever_the_order(deeds in deeds(), words in words()) {
-        let mut heard = Heard::new(&writes(&deeds));
-        for word in words {
-            let is_late = heard.is_of(word).is_some_and(|born| born < heard.newest);
-            let before = heard.kept();
-            heard.hear(word);
-            heard.is_right()?;
+    fn newest_incarnation_has_the_right_state_whatever_the_order(actions in actions(), inputs in inputs()) {
+        let mut modelled = ModelledBox::new(&writes(&actions));
+        for input in inputs {
+            let is_late = modelled.incarnation_of(input).is_some_and(|born| born < modelled.newest);
+            let before = modelled.newest_debug();
+            modelled.apply_input(input);
+            modelled.check_invariants()?;
             if is_late {
-                prop_assert_eq!(heard.kept(), before, "changed by {:?}", word);
+                prop_assert_eq!(modelled.newest_debug(), before, "changed by {:?}", input);
             }
         }
-        let last = heard.last();
-        heard.list(last);
-        heard.is_right()?;
-        match heard.holder(last) {
-            None => prop_assert!(heard.takers().is_empty()),
-            Some(holder) if holder.born_ms == Some(heard.newest) => {
-                let takes = !heard.left.contains(&heard.newest);
-                prop_assert_eq!(!heard.takers().is_empty(), takes);
+        let last = modelled.last();
+        modelled.list(last);
+        modelled.check_invariants()?;
+        match modelled.current_entry(last) {
+            None => prop_assert!(modelled.accepting_births().is_empty()),
+            Some(current_entry) if current_entry.born_ms == Some(modelled.newest) => {
+                let takes_new_work = !modelled.left.contains(&modelled.newest);
+                prop_assert_eq!(!modelled.accepting_births().is_empty(), takes_new_work);
             }
-            // The newest life was overwritten by a previous one: it is as it was.
+            // A previous incarnation overwrote the entry of the newest one, whose state stays as it was.
             Some(_) => {}
         }
     }
 
-    /// Two boxes that were told different things have the same list after they have sent each other what differs,
-    /// twice.
+    /// Two boxes with different inputs have the same list after they have exchanged their differences twice.
     #[test]
     fn two_boxes_that_exchange_patches_converge(
-        deeds in deeds(),
-        words_of_one in words(),
-        words_of_other in words(),
+        actions in actions(),
+        inputs_of_one in inputs(),
+        inputs_of_other in inputs(),
     ) {
-        let written = writes(&deeds);
-        let (mut one, mut other) = (Heard::new(&written), Heard::new(&written));
-        words_of_one.into_iter().for_each(|word| one.hear(word));
-        words_of_other.into_iter().for_each(|word| other.hear(word));
-        let (last, revision) = (one.last(), Heard::revision(one.last()));
+        let written = writes(&actions);
+        let (mut one, mut other) = (ModelledBox::new(&written), ModelledBox::new(&written));
+        inputs_of_one.into_iter().for_each(|input| one.apply_input(input));
+        inputs_of_other.into_iter().for_each(|input| other.apply_input(input));
+        let (last, revision) = (one.last(), ModelledBox::revision(one.last()));
         one.list(last);
-        // A first exchange may only tell of a life that the other had removed long ago.
+        // The first exchange may only reveal an incarnation that the other box removed long ago.
         for _ in 0..2 {
-            other.take_from(&one, revision);
-            one.take_from(&other, revision);
+            other.sync_from(&one, revision);
+            one.sync_from(&other, revision);
         }
         prop_assert_eq!(one.listed(), other.listed());
-        prop_assert_eq!(one.book.summary(), other.book.summary());
+        prop_assert_eq!(one.registry.summary(), other.registry.summary());
     }
 }
--- a/components/relay/src/watch/mod.rs
+++ b/components/relay/src/watch/mod.rs
@@ -1,4 +1,5 @@
-//! What the platform's store says: the operators' declarations, targets, evacuations, and which boxes watch it for all.
+//! Reads and watches the platform's store for declarations, targets and evacuations, and elects the boxes that watch
+//! it for the fleet.
 
 pub(crate) mod backoff;
 pub(crate) mod changes;
--- a/components/relay/src/watch/reconcile.rs
+++ b/components/relay/src/watch/reconcile.rs
@@ -1,6 +1,6 @@
-//! Finds where the target lists of two boxes differ, without either sending its list: targets fall into buckets by
-//! their names, and only buckets whose hashes differ are sent (range-based set reconciliation; compare the hash trees
-//! of DeCandia et al., "Dynamo", SOSP 2007, with one level).
+//! Reconciles the target lists of two boxes without sending either list: targets are hashed into buckets by name, and
+//! only buckets with different hashes are sent (range-based set reconciliation; compare the hash trees of DeCandia et
+//! al., "Dynamo", SOSP 2007, with one level).
 
 use crate::watch::targets::{Change, Target, TargetRegistry, TargetState};
 use peers::{TargetChanges, TargetList, TargetPatch, TargetSummary};
@@ -9,19 +9,19 @@
 use std::collections::HashSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Targets that fall into one bucket on average: a summary of 3,000 targets takes 1.5 KB, and a change of one costs
+/// Average number of targets per bucket: a summary of 3,000 targets takes 1.5 KB, and a change of one target costs
 /// some 600 bytes.
 const BUCKET_TARGETS: usize = 16;
-/// The most buckets that are made, or taken from another box.
+/// Maximum number of buckets, also for summaries of other boxes.
 const BUCKETS_MAX: usize = 1_024;
 
 fn bucket_of(instance: &str, count: usize) -> usize {
     (xxh3_64(instance.as_bytes()) % count as u64) as usize
 }
 
-/// What one target adds to the hash of its bucket.
+/// Hash that one target contributes to its bucket.
 fn hash_of(target: &Target) -> u64 {
-    // The key of a life names it and its birth.
+    // The id of an incarnation covers its name and birth.
     let name = target.id.0;
     match target.state {
         TargetState::Leaving => !name.rotate_left(1),
@@ -48,7 +48,7 @@
         listed.fold(0, |root, (_, target)| root ^ hash_of(target))
     }
 
-    /// What a list that was read anew showed, for boxes that know all that came before `after`.
+    /// The changes of a list that was read again, for boxes that know everything up to `after`.
     pub fn changes_since(&self, changes: &[Change], after: Version, now_ms: u64) -> TargetChanges {
         let (mut listed, mut unlisted) = (Vec::new(), Vec::new());
         for change in changes {
@@ -73,36 +73,37 @@
         }
     }
 
-    /// Takes in what another box tells, which knows all changes up to `changed_at` and the list as of `current_to`. Nothing
-    /// where this box lacks what came before.
+    /// Applies the changes that another box broadcasts; that box knows all changes up to `changed_at` and the list as
+    /// of `current_to`. Does nothing if this box is missing earlier changes.
     pub fn apply_changes(
         &mut self,
-        told: TargetChanges,
+        update: TargetChanges,
         changed_at: Version,
         current_to: Version,
         now_ms: u64,
     ) -> Vec<Change> {
-        if !self.is_known() || self.changed_at < told.after {
+        if !self.is_known() || self.changed_at < update.after {
             return Vec::new();
         }
         let mut changes = Vec::new();
-        for entry in told.listed.entries() {
+        for entry in update.listed.entries() {
             changes.extend(self.apply_entry(entry, now_ms));
         }
-        for (life, version) in told.unlisted {
-            changes.extend(self.unlist_incarnation(&life, version));
+        for (incarnation, version) in update.unlisted {
+            changes.extend(self.unlist_incarnation(&incarnation, version));
         }
-        if told.root.is_none_or(|root| root == self.root()) {
+        if update.root.is_none_or(|root| root == self.root()) {
             self.changed_at = self.changed_at.max(changed_at);
             self.current_to = self.current_to.max(current_to);
         } else {
-            // What came and went again while the one that tells knew of neither: it is asked for.
-            self.changed_at = told.after;
+            // The lists still differ, because a target came and went while the sender knew of neither; this box
+            // requests a patch.
+            self.changed_at = update.after;
         }
         changes
     }
 
-    /// This list in short; empty where none is known.
+    /// Bucket hashes of this list; empty if no list is known.
     pub fn summary(&self) -> TargetSummary {
         if !self.is_known() {
             return TargetSummary::default();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// What a box with that summary has to change to have this list; none where nothing differs.
+    /// The patch that makes the list behind a summary equal to this one; `None` if they are equal.
     pub fn patch_for(&self, other: &TargetSummary, now_ms: u64) -> Option<TargetPatch> {
         let count = other.buckets.len().clamp(1, BUCKETS_MAX);
         let own = self.bucket_hashes(count);
@@ -136,7 +137,7 @@
         })
     }
 
-    /// Takes another box's buckets in, as its list was at `version`.
+    /// Applies another box's buckets, as of `version` of its list.
     pub fn apply_patch(
         &mut self,
         patch: TargetPatch,
--- a/components/relay/src/watch/refused.rs
+++ b/components/relay/src/watch/refused.rs
@@ -1,18 +1,18 @@
-//! Entries of targets that name no target to use. Each is told once: a list is read again and again, and one bad entry
-//! would fill the log.
+//! Unusable entries of targets. Each is logged once: lists are read repeatedly, and one bad entry would flood the
+//! log.
 
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Keys that are kept; beyond them, all are told anew.
+/// Maximum number of keys; beyond it the set is cleared, and all are logged again.
 const KEYS_MAX: usize = 1_024;
 
-/// What was refused under which key, as a hash of its bytes.
+/// Hash of the unusable value under each key.
 #[derive(Debug, Default)]
 pub struct RefusedEntries(HashMap<Box<str>, u64>);
 
 impl RefusedEntries {
-    /// Notes that the bytes under a key were refused. Says whether that is new.
+    /// Records that the value under a key is unusable. Returns whether that is new.
     pub fn record_refusal(&mut self, key: &str, value: &[u8]) -> bool {
         let hash = xxh3_64(value);
         if self.0.get(key) == Some(&hash) {
@@ -25,7 +25,7 @@
         true
     }
 
-    /// Notes that nothing refused lies under a key any more.
+    /// Records that the key has no unusable value any more.
     pub fn clear(&mut self, key: &str) {
         self.0.remove(key);
     }
--- a/components/relay/src/watch/refused_tests.rs
+++ b/components/relay/src/watch/refused_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_same_bytes_are_told_once_and_others_again() {
+fn an_unusable_value_is_reported_once_and_a_changed_one_again() {
     let mut refused = RefusedEntries::default();
     assert!(refused.record_refusal("servers/a", b"x"));
     assert!(!refused.record_refusal("servers/a", b"x"));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn it_stays_small_whatever_is_written() {
+fn memory_is_bounded_for_any_number_of_keys() {
     let mut refused = RefusedEntries::default();
     for at in 0..5_000 {
         assert!(refused.record_refusal(&at.to_string(), b"x"));
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -1,4 +1,4 @@
-//! One target as a box knows it: what its entry says, what is believed of it, and what it showed.
+//! The state of one target on a box: its entry, what the box believes about it, and what it observed.
 
 use crate::rate_limit::state::TargetRateLimit;
 use platform::TargetLoad;
@@ -6,31 +6,31 @@
 use prelude::{DataCentreId, TargetId, Version};
 use routing::TargetEntry;
 
-/// What a box believes of one life of a target.
+/// State of one incarnation of a target, as a box believes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes new work.
+    /// Takes new work.
     Ready,
-    /// It serves what it has.
+    /// Finishes the requests that it has, and takes no new ones.
     Leaving,
-    /// It is listed no more. It may still serve what it has.
+    /// No longer listed; it may still finish requests.
     Gone,
 }
 
-/// An entry that a store lacks that has just come back from trouble. Entries lapse while it is away, and those
-/// of targets that live are written again.
+/// Marks an entry that is missing in a store that has just recovered. Entries lapse while the store is unreachable,
+/// and live targets write theirs again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Missing {
-    /// When the target is taken to be gone.
+    /// End of the grace period, when the target counts as gone.
     pub until_ms: u64,
-    /// The store's version at which its entry was missed.
+    /// The store's version at which the entry was missing.
     pub version: Version,
 }
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// As it is listed.
+    /// Its entry in the list.
     pub entry: TargetEntry,
     /// Its key in the policies.
     pub id: TargetId,
@@ -38,56 +38,58 @@
     pub data_centre: DataCentreId,
     /// Whether it takes new work.
     pub state: TargetState,
-    /// Its entry was missing when the store came back: it is gone if it is still missing then, as of that version.
+    /// Set while its entry is missing in a recovered store; it is removed if that lasts to the end of the grace
+    /// period.
     pub missing: Option<Missing>,
-    /// Until when it is slow from its start.
+    /// End of its cold period, in which it is slow after a start.
     pub cold_until_ms: u64,
-    /// This box's part of what it bears until then.
+    /// This box's share of the rate that the target can take while it is cold.
     pub warmup: Warmup,
-    /// Requests that this box has there.
+    /// Number of requests that this box has open there.
     pub open: u32,
     /// Bytes of these requests.
     pub open_bytes: u64,
-    /// What it last said of its load, and when.
+    /// The load that it last reported, and when.
     pub load: Option<(TargetLoad, u64)>,
     /// The pause that it asked this box for.
     pub backoff: RetryAfterBackoff,
     /// The rate limit that it announces.
     pub rate_limit: TargetRateLimit,
-    /// Its latest failures.
+    /// Outlier ejection by its recent failures.
     pub outlier: OutlierEjection,
-    /// Whether it may be given work after it failed some, on the box that dispatches to it.
+    /// Probation after failed generations, on the box that dispatches to it.
     pub probation: Probation,
-    /// Until when it counts as full, by its own word.
+    /// Until when it counts as full, by its own answer.
     pub full_until_ms: u64,
-    /// That it leaves is known from itself or from a box that it told; the store has not said so.
+    /// Its leaving is known from itself or a peer; the store has not reported it.
     pub leaving_reported: bool,
-    /// It said itself that it leaves, which no entry takes back.
+    /// It announced its leaving itself, which no entry reverts.
     pub announced_leaving: bool,
-    /// It was seen to leave. Where lives name their births, it takes no work again even if it vanishes and comes back.
+    /// It was seen to leave. If its entries carry a birth time, it never takes work again, even if it is removed and
+    /// listed again.
     pub was_leaving: bool,
 }
 
-/// How long its word on its load counts.
+/// How long a reported load counts, in ms.
 const LOAD_VALID_MS: u64 = 1_000;
-/// What a target in another data centre must be emptier by, as a share of its slots.
+/// How much emptier a target in another data centre must be, as a share of its slots.
 pub(crate) const FAR_SHARE: f64 = 0.3;
-/// Slots of a target that does not say how many it has.
-const SLOTS_UNKNOWN: f64 = 8.0;
-/// What a target that has just started is taken to have on it, as a share of its slots.
+/// Assumed slots of a target that does not report them.
+const DEFAULT_SLOTS: f64 = 8.0;
+/// Extra load assumed on a cold target, as a share of its slots.
 pub(crate) const COLD_SHARE: f64 = 0.5;
 
-/// What cold targets of a service bear, as one box may use it.
+/// The rate that cold targets of a service can take, for use by one box.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdRate {
-    /// Requests a second at one target, from all boxes together; none where it bears as many as come.
+    /// Requests per second at one target from all boxes together; `None` if unlimited.
     pub rate_per_s: Option<f64>,
-    /// Among how many boxes that is divided.
+    /// Number of boxes that share the rate.
     pub boxes: usize,
 }
 
 impl ColdRate {
-    /// Whether a target bears one more request now.
+    /// Whether a target can take one more request now.
     pub(crate) fn allows(self, target: &Target, now_ms: u64) -> bool {
         let is_cold = now_ms < target.cold_until_ms;
         let rate_per_s = self.rate_per_s.filter(|_| is_cold);
@@ -102,7 +104,7 @@
 }
 
 impl Target {
-    /// Its entry as others are told it, cold for what is left of that.
+    /// Its entry as sent to other boxes, with the rest of its cold period.
     pub(super) fn entry_at(&self, now_ms: u64) -> TargetEntry {
         TargetEntry {
             cold_left_ms: self.cold_until_ms.saturating_sub(now_ms) as u32,
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Whether it takes no more right now: it is full by its own word, asked for a pause, or has no tokens left.
+    /// Whether it takes no requests right now: it reported that it is full, asked for a pause, or is out of rate
+    /// tokens.
     pub(crate) fn is_full(&self, now_ms: u64) -> bool {
         now_ms < self.full_until_ms
             || self.backoff.remaining_ms(now_ms).is_some()
@@ -122,20 +125,20 @@
         now_ms < self.rate_limit.no_token_until_ms
     }
 
-    /// How full it is, as a share of its slots, by its last word and our own requests.
+    /// Load as a share of its slots, from its last report and this box's own requests.
     pub fn fullness(&self, now_ms: u64) -> f64 {
         let slots = f64::from(self.entry.slots).max(1.0);
         let slots = match self.entry.slots {
-            0 => SLOTS_UNKNOWN,
+            0 => DEFAULT_SLOTS,
             _ => slots,
         };
-        let told = self
+        let reported = self
             .load
             .filter(|(_, at_ms)| now_ms < at_ms + LOAD_VALID_MS)
             .map_or(0.0, |(load, at_ms)| {
                 let age = (now_ms - at_ms) as f64 / LOAD_VALID_MS as f64;
                 f64::from(load.running + load.waiting) * (1.0 - age)
             });
-        told.max(f64::from(self.open)) / slots
+        reported.max(f64::from(self.open)) / slots
     }
 }
--- a/components/relay/src/watch/target_snapshot.rs
+++ b/components/relay/src/watch/target_snapshot.rs
@@ -1,7 +1,6 @@
-//! A snapshot of a long list of targets, in the platform's store: packed, a twentieth of what the list takes there page by
-//! page. Where all boxes start at once nobody else has the list, and what all of them read bounds how soon they serve. The
-//! box that watches targets writes it; it is as old as the last write, and whoever reads it is told what is newer by the
-//! boxes that watch.
+//! A compressed snapshot of a long list of targets in the platform's store, a twentieth of the size of the paged
+//! list. If all boxes start at once, no peer has the list, and the amount that all of them read bounds the time until
+//! they serve. The first box that watches targets writes it. A reader gets newer changes from the watching boxes.
 
 use crate::membership::snapshot::{pack, unpack};
 use crate::state::Relay;
@@ -16,34 +15,34 @@
 use store::{KeyValue, StoreError, Transaction, Versioned, Write};
 use tokio::time::sleep;
 
-/// What begins the keys of its parts.
+/// Prefix of the keys of the parts.
 const PREFIX: &str = "snapshots/targets/";
-/// Shorter lists are a page or two, and have none.
+/// Shorter lists fit into a page or two and get no snapshot.
 const SNAPSHOT_TARGETS_MIN: usize = 1_000;
-/// Targets of one part: some 50 KB.
+/// Targets per part, some 50 KB.
 const PART_TARGETS: usize = 2_048;
-/// Parts at the most: what one transaction takes.
+/// Maximum number of parts, the limit of one transaction.
 const PARTS_MAX: usize = 32;
-/// How often it is looked whether a snapshot is due.
+/// How often the box checks whether a snapshot is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
-/// While the list changes it is written this often. A box that starts uses what is so old until it is told more.
+/// How often a changing list is written. A starting box uses data of this age until it gets updates.
 const WRITE_INTERVAL_MS: u64 = 10_000;
-/// How long it lasts where nobody writes it again.
+/// Lease in seconds, after which a snapshot that is not renewed lapses.
 const LEASE_S: u64 = 600;
-/// It is written again within this time, changed or not.
+/// An unchanged list is written again after this time.
 const REWRITE_INTERVAL_MS: u64 = 240_000;
 
-/// One part.
+/// One part of a snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 struct Part {
     /// The version of the list.
     version: Version,
-    /// How many parts there are.
+    /// Number of parts of the snapshot.
     parts: u16,
     listed: TargetList,
 }
 
-/// A list of targets as it was at a version.
+/// A list of targets as of a version.
 pub(super) struct TargetSnapshot {
     pub version: Version,
     pub entries: Vec<TargetEntry>,
@@ -55,33 +54,35 @@
     at_ms: u64,
 }
 
-/// Reads the snapshot; none where there is none that is whole and of the store's era.
+/// Reads the newest complete snapshot of the store's current era, if there is one.
 pub(super) async fn read(relay: &Relay) -> Result<Option<TargetSnapshot>, StoreError> {
     metrics::counter!("shuntpier_store_calls", "of" => "snapshot").increment(1);
     let (items, at) = relay.store.list_stale(PREFIX).await?;
     let parts = items.iter().filter_map(|item| part(relay, item));
     let parts = parts.filter(|part| part.version.era() == at.era());
-    Ok(newest(parts))
+    Ok(newest_complete(parts))
 }
 
 fn part(relay: &Relay, item: &Versioned) -> Option<Part> {
     let unpacked = unpack(&item.value).ok();
     let part = unpacked.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     if part.is_none() {
-        slog::warn!(relay.log, "part of a snapshot not used"; "key" => &item.key,
+        slog::warn!(relay.log, "part of a target snapshot not used"; "key" => &item.key,
             "bytes" => item.value.len());
     }
     part
 }
 
-/// The newest snapshot of which all parts are there.
-fn newest(parts: impl Iterator<Item = Part>) -> Option<TargetSnapshot> {
+/// The newest snapshot with all its parts.
+fn newest_complete(parts: impl Iterator<Item = Part>) -> Option<TargetSnapshot> {
     let mut by_version: BTreeMap<Version, Vec<Part>> = BTreeMap::new();
     for part in parts {
         by_version.entry(part.version).or_default().push(part);
     }
-    let is_whole = |parts: &[Part]| parts.iter().all(|p| usize::from(p.parts) == parts.len());
-    let (version, parts) = by_version.into_iter().rfind(|(_, parts)| is_whole(parts))?;
+    let is_complete = |parts: &[Part]| parts.iter().all(|p| usize::from(p.parts) == parts.len());
+    let (version, parts) = by_version
+        .into_iter()
+        .rfind(|(_, parts)| is_complete(parts))?;
     let entries = parts.into_iter().flat_map(|part| part.listed.entries());
     Some(TargetSnapshot {
         version,
@@ -89,7 +90,7 @@
     })
 }
 
-/// Writes snapshots for as long as the box lives, while it is the first that watches targets.
+/// Writes snapshots for the lifetime of the box, while it is the first in rank and watches targets.
 pub(crate) async fn run_snapshots(relay: Rc<Relay>) {
     let mut written = None;
     loop {
@@ -107,12 +108,12 @@
 }
 
 fn is_due(relay: &Relay, written: Option<&Written>) -> bool {
-    let watches = relay
+    let is_watching = relay
         .following
         .get()
         .views()
         .any(|view| view == View::Targets);
-    if !watches || rank(relay) != Some(0) || relay.is_settling() {
+    if !is_watching || rank(relay) != Some(0) || relay.is_settling() {
         return false;
     }
     let targets = relay.targets.borrow();
@@ -175,7 +176,7 @@
     }
 }
 
-/// Targets of one part, where there are so many in all.
+/// Number of targets per part for a list of `listed` targets.
 fn part_targets(listed: usize) -> usize {
     listed.div_ceil(PARTS_MAX).max(PART_TARGETS)
 }
--- a/components/relay/src/watch/target_snapshot_tests.rs
+++ b/components/relay/src/watch/target_snapshot_tests.rs
@@ -11,13 +11,13 @@
 }
 
 fn names(parts: Vec<Part>) -> Option<(Version, Vec<Box<str>>)> {
-    let snapshot = newest(parts.into_iter())?;
+    let snapshot = newest_complete(parts.into_iter())?;
     let names = snapshot.entries.into_iter().map(|entry| entry.instance);
     Some((snapshot.version, names.collect()))
 }
 
 #[test]
-fn the_newest_snapshot_of_which_all_parts_are_there_is_used() {
+fn the_newest_complete_snapshot_is_used() {
     let parts = vec![
         part(5, 2, &["a"]),
         part(5, 2, &["b"]),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_part_that_a_longer_snapshot_left_is_passed_over() {
+fn a_part_left_by_a_longer_snapshot_is_ignored() {
     let parts = vec![part(7, 1, &["a"]), part(5, 2, &["b"])];
     assert_eq!(names(parts), Some((at(7), vec!["a".into()])));
     assert_eq!(names(vec![part(5, 2, &["b"])]), None);
--- a/components/relay/src/watch/targets.rs
+++ b/components/relay/src/watch/targets.rs
@@ -1,5 +1,5 @@
-//! The targets that this box knows, and what it has on each. Whether a target leaves is kept for each of
-//! its lives, never for its address or name. How words on lives are taken in is in [`crate::watch::listing`].
+//! The targets that this box knows, with its observations of each. Leaving is recorded per incarnation, never per
+//! address or name. Entries and lists are applied in [`crate::watch::listing`].
 
 use crate::watch::index::TargetIndex;
 pub(crate) use crate::watch::target::{COLD_SHARE, FAR_SHARE};
@@ -14,84 +14,84 @@
 use std::collections::{HashMap, HashSet};
 
 new_key_type! {
-    /// A target in this box's arena.
+    /// Key of a target in this box's slot map.
     pub struct TargetSlot;
 }
 
-/// How long a target's word that it is full is believed.
-const FULL_MS: u64 = 100;
+/// How long a target's answer that it is full counts, in ms.
+const FULL_VALID_MS: u64 = 100;
 
-/// All targets.
+/// The targets that a box knows.
 #[derive(Debug, Default)]
 pub struct TargetRegistry {
     pub(super) targets: SlotMap<TargetSlot, Target>,
     pub(super) index: TargetIndex,
-    /// The newest life of each name. A previous one is only found by its key.
+    /// The newest incarnation of each name. A previous one is only found by its slot.
     pub(super) by_instance: HashMap<Box<str>, TargetSlot>,
     pub(super) by_id: HashMap<TargetId, TargetSlot>,
     pub(super) tombstones: Tombstones,
-    /// The store's version up to which everything is known.
+    /// The store's version up to which the list is complete.
     pub current_to: Version,
-    /// The version of the last change that matters: a target came, leaves, or went.
+    /// The version of the last relevant change: a target was added, leaves, or was removed.
     pub changed_at: Version,
-    /// Until when what the store says may be a copy's, as its era rose.
+    /// Until when the store's list may be stale, after its era rose.
     pub(super) settles_until_ms: Option<u64>,
-    /// When it was last confirmed that the book is current.
+    /// When the list was last confirmed to be current.
     pub confirmed_ms: Option<u64>,
-    /// A list was taken in: from the store, perhaps as it was some seconds ago, or from a peer.
+    /// A list was applied: from the store, possibly some seconds stale, or from a peer.
     pub(super) known: bool,
     evacuated: HashSet<DataCentreId>,
-    /// Targets that were looked at, each time counted.
+    /// Counts checks of single targets.
     checks: Cell<u64>,
 }
 
-/// What a change of the book means for the rest of the box.
+/// A change of the registry, for the rest of the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A target may be used from now on.
+    /// The target may be used from now on.
     Added(TargetSlot),
-    /// It takes no new work from now on.
+    /// The target takes no new work from now on.
     Leaving(TargetSlot),
-    /// It is listed no more.
+    /// The target is no longer listed.
     Removed(TargetSlot),
-    /// It takes work, and is slow for a time.
+    /// The target takes work, and is slow for some time.
     TurnedCold(TargetSlot),
-    /// A new life has begun under the name of a previous one, which is over.
+    /// A new incarnation started under the name of a previous one, which has ended.
     Restarted {
-        /// The life that is over.
+        /// The incarnation that ended.
         previous: TargetSlot,
-        /// The new life.
+        /// The new incarnation.
         slot: TargetSlot,
     },
 }
 
 impl TargetRegistry {
-    /// One target.
+    /// The target in a slot.
     pub fn get(&self, slot: TargetSlot) -> Option<&Target> {
         self.targets.get(slot)
     }
 
-    /// One target.
+    /// The target in a slot.
     pub fn get_mut(&mut self, slot: TargetSlot) -> Option<&mut Target> {
         self.targets.get_mut(slot)
     }
 
-    /// The target of a key.
+    /// The slot of a target.
     pub fn slot_of(&self, id: TargetId) -> Option<TargetSlot> {
         self.by_id.get(&id).copied()
     }
 
-    /// Sets the data centres whose targets get nothing new.
+    /// Sets the evacuated data centres, whose targets get no new work.
     pub fn evacuate(&mut self, data_centres: HashSet<DataCentreId>) {
         self.evacuated = data_centres;
     }
 
-    /// Whether a target stands in an evacuated data centre.
+    /// Whether a target is in an evacuated data centre.
     pub fn is_evacuated(&self, target: &Target) -> bool {
         self.evacuated.contains(&target.data_centre)
     }
 
-    /// Whether a target takes new work: every placement, send, copy and question goes by this.
+    /// Whether a target takes new work. Every placement, send, copy and poll uses this check.
     pub fn takes_work(&self, target: &Target) -> bool {
         target.state == TargetState::Ready && !self.is_evacuated(target)
     }
@@ -101,17 +101,17 @@
         self.known
     }
 
-    /// How many lives of targets it holds.
+    /// Number of incarnations of targets.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether it holds none.
+    /// Whether there are no targets.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// All targets that are still listed, cold for what is left of that.
+    /// The entries of all listed targets, each with the rest of its cold period.
     pub fn entries(&self, now_ms: u64) -> Vec<TargetEntry> {
         let listed = self.all().map(|(_, target)| target);
         let listed = listed.filter(|t| t.state != TargetState::Gone);
@@ -123,7 +123,7 @@
         self.targets.iter().inspect(move |_| self.count_check())
     }
 
-    /// How many targets were looked at, each time counted: what upkeep costs grows with it.
+    /// Total checks of single targets, which measure the cost of maintenance.
     pub fn checks(&self) -> u64 {
         self.checks.get()
     }
@@ -132,7 +132,7 @@
         self.checks.set(self.checks.get() + 1);
     }
 
-    /// The targets on trial that are to be asked now.
+    /// Targets on probation that are due for a probe.
     pub fn due_probes(&mut self, now_ms: u64) -> Vec<TargetSlot> {
         let targets = &self.targets;
         let is_on = |slot: &TargetSlot| {
@@ -144,11 +144,11 @@
         let open = |(_, target): &(TargetSlot, &Target)| {
             self.takes_work(target) && target.probation.needs_probe(now_ms)
         };
-        let tried = self.resolve(self.index.on_probation.iter().copied());
-        tried.filter(open).map(|(slot, _)| slot).collect()
+        let on_probation = self.resolve(self.index.on_probation.iter().copied());
+        on_probation.filter(open).map(|(slot, _)| slot).collect()
     }
 
-    /// Notes that a target asked this box for a pause. Says whether it had not before.
+    /// Records that a target asked this box for a pause. Returns whether no pause was in force before.
     pub(crate) fn record_retry_after(
         &mut self,
         slot: TargetSlot,
@@ -166,7 +166,7 @@
         is_new
     }
 
-    /// The targets of a service that asked this box for a pause which is not over, and how long each is.
+    /// Targets of a service whose requested pause is in force, with the remaining ms.
     pub(crate) fn backing_off(&mut self, service: &str, now_ms: u64) -> Vec<(TargetId, u64)> {
         let targets = &self.targets;
         let is_on = |slot: &TargetSlot| targets.get(*slot).is_some_and(|t| t.backoff.is_on(now_ms));
@@ -178,7 +178,7 @@
             .collect()
     }
 
-    /// Notes that the rate limit of a target changed.
+    /// Updates the index after the rate limit of a target changed.
     pub(crate) fn index_rate_limit(&mut self, slot: TargetSlot) {
         let Some(target) = self.targets.get(slot) else {
             return;
@@ -190,18 +190,18 @@
         };
     }
 
-    /// Targets with a rate limit: all, or so many drawn at random.
+    /// A random sample of up to `count` targets with a rate limit.
     pub(crate) fn sample_rate_limited(&self, count: usize) -> Vec<TargetSlot> {
         let limited = self.index.rate_limited.iter().copied();
         limited.choose_multiple(&mut rand::rng(), count)
     }
 
-    /// How many targets have a rate limit.
+    /// Number of targets with a rate limit.
     pub(crate) fn rate_limited_count(&self) -> usize {
         self.index.rate_limited.len()
     }
 
-    /// Notes that a target failed this box.
+    /// Records that a target failed a request of this box.
     pub fn record_failure(&mut self, slot: TargetSlot, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.outlier.record_failure(now_ms);
@@ -209,30 +209,30 @@
         }
     }
 
-    /// The targets of which something held for a time when this was asked last: what is over by now is told once.
+    /// Targets that had transient state at the last call; a target whose state has ended is returned once more.
     pub fn take_transient(&mut self, now_ms: u64) -> Vec<TargetId> {
         let transient = self.resolve(self.index.transient.iter().copied());
         let ids = transient.map(|(_, target)| target.id).collect();
         let targets = &self.targets;
-        let holds = |target: &Target| {
+        let is_in_force = |target: &Target| {
             now_ms < target.cold_until_ms
                 || target.probation.is_on(now_ms)
                 || target.outlier.is_ejected(now_ms)
                 || target.rate_limit.announced.rate_per_s(now_ms).is_some()
         };
-        let is_passing = |slot: &TargetSlot| targets.get(*slot).is_some_and(holds);
-        self.index.transient.retain(is_passing);
+        let is_transient = |slot: &TargetSlot| targets.get(*slot).is_some_and(is_in_force);
+        self.index.transient.retain(is_transient);
         ids
     }
 
-    /// Whether more than half of the targets of a service that take work but for their trials are on trial.
+    /// Whether more than half of the ready targets of a service are on probation.
     pub fn most_on_probation(&self, service: &str, now_ms: u64) -> bool {
         let is_ready = |(_, target): &(TargetSlot, &Target)| target.state == TargetState::Ready;
-        let tried = self.resolve(self.index.on_probation.iter().copied());
-        let of_service = tried.filter(|(_, target)| &*target.entry.service == service);
+        let on_probation = self.resolve(self.index.on_probation.iter().copied());
+        let of_service = on_probation.filter(|(_, target)| &*target.entry.service == service);
         let on = of_service.filter(|(_, target)| target.probation.is_on(now_ms));
         let on = on.filter(is_ready).count();
-        // Mostly there is none, and the others need not be counted.
+        // Usually none is on probation, and the others need not be counted.
         on > 0 && on * 2 > self.of_service(service).filter(is_ready).count()
     }
 
@@ -244,7 +244,7 @@
         found.inspect(move |_| self.count_check())
     }
 
-    /// Takes a life of a target in.
+    /// Inserts an incarnation of a target.
     pub(super) fn insert(&mut self, target: Target) -> TargetSlot {
         let (id, instance) = (target.id, target.entry.instance.clone());
         let slot = self.targets.insert(target);
@@ -257,7 +257,7 @@
         slot
     }
 
-    /// Takes what is found of a target in anew after its entry changed; it served `before`.
+    /// Updates the index after a target's entry changed; `before` is its previous service.
     pub(super) fn reindex(&mut self, slot: TargetSlot, before: &str) {
         if let Some(target) = self.targets.get(slot) {
             if &*target.entry.service != before {
@@ -267,12 +267,12 @@
         }
     }
 
-    /// The targets that have requests of this box.
+    /// Targets with open requests of this box.
     pub fn in_use(&self) -> Vec<TargetSlot> {
         self.index.in_use.iter().copied().collect()
     }
 
-    /// Notes that a target failed a generation, or was silent to one. Says whether that counts as a failure.
+    /// Records that a target failed a generation or was silent. Returns whether that counts as a failure.
     pub fn record_generation_failure(
         &mut self,
         slot: TargetSlot,
@@ -301,40 +301,40 @@
         self.resolve(self.index.of_service(service))
     }
 
-    /// How many targets a service has.
+    /// Number of targets of a service.
     pub fn count_of_service(&self, service: &str) -> usize {
         self.index.count_of_service(service)
     }
 
-    /// Notes that a target said that it is full.
+    /// Records that a target answered that it is full.
     pub fn record_full(&mut self, slot: TargetSlot, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
-            target.full_until_ms = now_ms + FULL_MS;
+            target.full_until_ms = now_ms + FULL_VALID_MS;
         }
     }
 
-    /// Notes that a target was chosen for a request.
+    /// Records that a target was chosen for a request.
     pub fn record_chosen(&mut self, slot: TargetSlot, cold: ColdRate, now_ms: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             cold.record_send(target, now_ms);
         }
     }
 
-    /// Notes that a target holds so many bytes more of a request.
+    /// Adds bytes of a request that a target has received.
     pub fn add_open_bytes(&mut self, slot: TargetSlot, bytes: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open_bytes += bytes;
         }
     }
 
-    /// Notes that it holds so many less.
+    /// Subtracts bytes of a request that ended.
     pub fn remove_open_bytes(&mut self, slot: TargetSlot, bytes: u64) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open_bytes = target.open_bytes.saturating_sub(bytes);
         }
     }
 
-    /// Notes a request that was sent to a target.
+    /// Records that a request was sent to a target.
     pub fn record_open(&mut self, slot: TargetSlot) {
         if let Some(target) = self.targets.get_mut(slot) {
             target.open += 1;
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Notes that a request ended, and forgets a target that is gone with its last one.
+    /// Records that a request ended, and removes a target that is gone with its last request.
     pub fn record_close(&mut self, slot: TargetSlot) {
         let Some(target) = self.targets.get_mut(slot) else {
             return;
@@ -354,7 +354,7 @@
         self.remove_if_idle(slot);
     }
 
-    /// Forgets a target that is gone and has nothing of ours.
+    /// Removes a target that is gone and has no open requests of this box, leaving a tombstone.
     pub fn remove_if_idle(&mut self, slot: TargetSlot) {
         let idle = |target: &Target| target.state == TargetState::Gone && target.open == 0;
         if !self.targets.get(slot).is_some_and(idle) {
@@ -374,8 +374,8 @@
         }
     }
 
-    /// The best target for a plain request: the emptiest, near ones first. Those in `tried` are only
-    /// taken where there is no other, and cold ones as far as `cold` says that they bear it.
+    /// Picks the target for a plain request: the least loaded one, near ones first. Targets in `tried` are used only
+    /// if there is no other, and cold ones only as far as `cold` allows.
     pub fn choose(
         &self,
         service: &str,
@@ -387,14 +387,14 @@
         let rank = |(slot, target): (TargetSlot, &Target)| {
             let far = f64::from(u8::from(target.data_centre != near)) * FAR_SHARE;
             let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
-            let passed_over = target.outlier.is_ejected(now_ms);
+            let ejected = target.outlier.is_ejected(now_ms);
             let full = target.is_full(now_ms);
-            let doubt = target.outlier.failed_share();
+            let failed_share = target.outlier.failed_share();
             let order = (
                 tried.contains(&slot),
-                passed_over,
+                ejected,
                 full,
-                target.fullness(now_ms) + far + cold + doubt,
+                target.fullness(now_ms) + far + cold + failed_share,
             );
             (order, slot)
         };
@@ -402,8 +402,8 @@
             .of_service(service)
             .filter(|(_, target)| self.takes_work(target) && cold.allows(target, now_ms));
         let best = ready.map(rank).min_by(|(a, _), (b, _)| {
-            let doubts = (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2));
-            doubts.then(a.3.total_cmp(&b.3))
+            let flags = (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2));
+            flags.then(a.3.total_cmp(&b.3))
         });
         best.map(|(_, slot)| slot)
     }
--- a/components/relay/src/watch/tombstones.rs
+++ b/components/relay/src/watch/tombstones.rs
@@ -1,28 +1,28 @@
-//! What is still known of a name once nothing is kept of its lives: which life was the newest, whether it left, and
-//! when it was listed no more. Without it a late word of a previous life would bring a dead target back.
+//! Tombstones of names whose incarnations were removed: the newest incarnation, whether it left, and when it was
+//! removed. Without them a late update of a previous incarnation would revive a dead target.
 
 use prelude::Version;
 use routing::TargetLife;
 use std::collections::{HashMap, VecDeque};
 
-/// Names of which this is kept at the least, the latest: some 100 KB.
+/// Minimum number of tombstones kept, the latest ones: some 100 KB.
 const NAMES_MIN: usize = 1_024;
-/// The same where there are many targets, as a share of them: late words come within seconds, and no fleet replaces so many
-/// in that time.
+/// Tombstones kept as a share of the known targets. Late updates arrive within seconds, and no fleet replaces this
+/// share in that time.
 const NAMES_SHARE: f64 = 0.5;
 
-/// What is known of a name. A life without a birth counts as older than every life that has one.
+/// The tombstone of a name. An incarnation without a birth time counts as older than all that have one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Tombstone {
-    /// The birth of its newest life; none where it never had one that names its birth.
+    /// Birth time of the newest incarnation; `None` if none had one.
     pub born_ms: Option<u64>,
-    /// That life was seen to leave.
+    /// That incarnation was seen to leave.
     pub was_leaving: bool,
     /// The store's version at which the name was not listed.
     pub unlisted_at: Version,
 }
 
-/// The tombstones of names, the latest.
+/// The latest tombstones by name.
 #[derive(Debug, Default)]
 pub(super) struct Tombstones {
     tombstones: HashMap<Box<str>, Tombstone>,
@@ -31,34 +31,34 @@
 }
 
 impl Tombstones {
-    /// What is known of a name.
+    /// The tombstone of a name; empty if there is none.
     pub fn get(&self, instance: &str) -> Tombstone {
         self.tombstones.get(instance).copied().unwrap_or_default()
     }
 
-    /// Notes that a life was heard of, and whether it leaves.
-    pub fn record_incarnation(&mut self, life: &TargetLife, leaves: bool) {
-        let tombstone = self.entry_mut(&life.instance);
-        if life.born_ms > tombstone.born_ms {
-            tombstone.born_ms = life.born_ms;
+    /// Records an incarnation, and whether it leaves.
+    pub fn record_incarnation(&mut self, incarnation: &TargetLife, leaves: bool) {
+        let tombstone = self.entry_mut(&incarnation.instance);
+        if incarnation.born_ms > tombstone.born_ms {
+            tombstone.born_ms = incarnation.born_ms;
             tombstone.was_leaving = leaves;
-        } else if life.born_ms == tombstone.born_ms {
+        } else if incarnation.born_ms == tombstone.born_ms {
             tombstone.was_leaving |= leaves;
         }
     }
 
-    /// Notes that a name was not listed at a version.
+    /// Records that a name was not listed at a version.
     pub fn record_unlisted(&mut self, instance: &str, version: Version) {
         let tombstone = self.entry_mut(instance);
         tombstone.unlisted_at = tombstone.unlisted_at.max(version);
     }
 
-    /// Notes how many targets there are.
+    /// Sets the number of known targets, which scales the capacity.
     pub fn set_target_count(&mut self, targets: usize) {
         self.targets = self.targets.max(targets);
     }
 
-    /// How many names it knows of.
+    /// Number of tombstones.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.tombstones.len()
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -1,5 +1,5 @@
-//! Follows the platform's store, where it is this box's turn: the operators' declarations and the targets.
-//! What is learnt is told to the other boxes at once.
+//! Watches the declarations and targets in the platform's store while this box is elected, and broadcasts changes to
+//! the other boxes.
 
 use crate::membership::gossip::{spread_table, spread_targets, tell_current};
 use crate::state::Relay;
@@ -22,30 +22,30 @@
 use store::{StoreError, Versioned, WatchEvent, WatchStream};
 use tokio::time::sleep;
 
-/// Pause between two answers of the watch on targets, so that changes at one time cost one call.
+/// Pause between two polls of the watch on targets, so that concurrent changes cost one call.
 const TARGETS_POLL_PAUSE: Duration = Duration::from_millis(30);
-/// The same for the second box that follows them, while the first is heard, which tells all boxes at once. An answer is a
-/// call, whoever gets it.
+/// The pause of the second watching box while the first one, which broadcasts all changes, is alive. Each answer of
+/// the watch is a billed call.
 const STANDBY_POLL_PAUSE: Duration = Duration::from_millis(1_000);
-/// The first is heard while it has said that it follows the store within this time; it says so every 0.4 s.
+/// The first box counts as alive if it has announced its watch within this time; it does so every 0.4 s.
 const STANDBY_TIMEOUT_MS: u64 = 900;
-/// The pause for declarations: a storm of changes travels as one in this time, which each box learns of well
-/// within the users' bound of some seconds.
+/// The pause for declarations. A burst of changes is sent as one, and each box learns of it well within the users'
+/// bound of some seconds.
 const DECLARATIONS_POLL_PAUSE: Duration = Duration::from_millis(250);
 
-/// Changes that a list read anew showed are told to all boxes, up to so many: where all ask for them instead, they ask the
-/// few that watch, at once. A list of which more is new is that of a box that knew little.
+/// Maximum number of changes of a list that are broadcast. If all boxes requested them instead, they would query the
+/// few watching boxes at once. A box with more changes had an almost empty list.
 const BROADCAST_CHANGES_MAX: usize = 1_024;
 
-/// A view that was not confirmed for this long was cut off by trouble of the store.
+/// A view that was not confirmed for this long was cut off by an outage of the store.
 const OUTAGE_MIN_MS: u64 = 1_000;
-/// After the store has come back, entries that lapsed meanwhile have this long to be written again. The users name
-/// about two seconds; what is still missing then is gone.
+/// Grace period, after the store has recovered, in which lapsed entries can be written again. The users specify about
+/// two seconds; entries missing after that are removed.
 const MISSING_GRACE_MS: u64 = 2_000;
-/// How often entries that are missing are looked over.
+/// How often missing entries are checked.
 const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows a view for as long as the box lives, while it must.
+/// Watches a view for the lifetime of the box, whenever this box must.
 pub(crate) async fn follow(relay: Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
     relay.seeds_asked().await;
@@ -55,36 +55,36 @@
             sleep(ELECTION_CHECK_INTERVAL).await;
             continue;
         }
-        let ended = tokio::select! {
-            ended = follow_once(&relay, view, &mut backoff) => ended,
+        let result = tokio::select! {
+            result = follow_once(&relay, view, &mut backoff) => result,
             () = relay.store_doubted.notified() =>
                 Err(StoreError::NotDone("the store is in doubt".into())),
         };
-        if let Err(error) = ended {
+        if let Err(error) = result {
             if view == View::Targets {
                 relay.targets_doubted.set(true);
             }
             metrics::counter!("shuntpier_store_failures", "of" => view.name()).increment(1);
-            slog::info!(relay.log, "store not followed"; "view" => view.name(), "error" => %error);
+            slog::info!(relay.log, "store watch failed"; "view" => view.name(), "error" => %error);
             pause_before_retry(&relay, backoff.next_pause()).await;
         }
     }
 }
 
-/// Reads a view that no seed told, as it was up to some seconds ago: that costs a tenth, and whoever follows the store
-/// tells what is newer within a second.
+/// Reads a view that no seed provided, allowing data that is some seconds stale. That costs a tenth of a current
+/// read, and the watching boxes send newer changes within a second.
 async fn read_initial(relay: &Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
     while !relay.knows(view) {
         let listed = tokio::select! {
             listed = read_stale(relay, view) => listed,
-            // What the store still has to say would be read for nothing.
+            // A peer has sent the view, so the rest of the answer is not needed.
             () = relay.until_known(view) => return,
         };
         match listed {
             Ok(Some((items, version))) => {
                 metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
-                // A peer that told it meanwhile knew better.
+                // A view that a peer sent in the meantime is newer.
                 if !relay.knows(view) {
                     apply_list(relay, view, &items, version);
                 }
@@ -92,15 +92,15 @@
             }
             Ok(None) => return,
             Err(error) => {
-                slog::info!(relay.log, "store not read"; "view" => view.name(), "error" => %error);
+                slog::info!(relay.log, "store read failed"; "view" => view.name(), "error" => %error);
                 backoff.pause().await;
             }
         }
     }
 }
 
-/// Reads a view. Of a long list of targets the snapshot is taken in instead, and none is left to be: it is looked for first,
-/// as a page of the list takes more than the whole snapshot.
+/// Reads a possibly stale view. If there is a snapshot of a long list of targets, applies that and returns `None`.
+/// The snapshot is read first, as one page of the list takes more than the whole snapshot.
 async fn read_stale(
     relay: &Rc<Relay>,
     view: View,
@@ -108,7 +108,7 @@
     if view == View::Targets
         && let Some(snapshot) = target_snapshot::read(relay).await?
     {
-        // A peer that told the list meanwhile knew better.
+        // A list that a peer sent in the meantime is newer.
         if !relay.knows(view) {
             apply_snapshot(relay, snapshot);
         }
@@ -129,7 +129,7 @@
     relay.handle_target_changes(&changes, "snapshot");
 }
 
-/// Reads a view, then watches it until it is other boxes' turn.
+/// Reads a view, then watches it until other boxes take over.
 async fn follow_once(
     relay: &Rc<Relay>,
     view: View,
@@ -139,12 +139,12 @@
     let version = read_current(relay, view).await?;
     backoff.reset();
     if !was_known {
-        // A box that has just started learns first whose turn it is.
+        // A box that has just started first learns its rank.
         return Ok(());
     }
-    slog::info!(relay.log, "store followed by this box"; "view" => view.name(),
+    slog::info!(relay.log, "store watch started"; "view" => view.name(),
         "rank" => rank(relay), "version" => %version);
-    let _following = FollowGuard::begin(relay, view);
+    let _guard = FollowGuard::begin(relay, view);
     let watch = relay.store.watch_after(prefix_of(view), version);
     watch_view(relay, view, watch).await
 }
@@ -161,7 +161,7 @@
     view: View,
     mut watch: FleetWatch,
 ) -> Result<(), StoreError> {
-    let began_ms = relay.now_ms();
+    let started_ms = relay.now_ms();
     loop {
         let events = {
             let mut answer = pin!(watch.next());
@@ -170,7 +170,7 @@
                     events = &mut answer => break events?,
                     () = sleep(CONFIRM_INTERVAL) => {}
                 }
-                if can_step_down(relay, began_ms) {
+                if can_step_down(relay, started_ms) {
                     return Ok(());
                 }
             }
@@ -185,7 +185,7 @@
     }
 }
 
-/// The pause before the next answer of a watch is asked for.
+/// The pause before the watch is polled again.
 fn poll_pause(relay: &Relay, view: View) -> Duration {
     let last_seen_ms = relay.members.borrow().heard_follower_ms();
     let is_second = rank(relay) != Some(0) && last_seen_ms + STANDBY_TIMEOUT_MS > relay.now_ms();
@@ -196,7 +196,7 @@
     }
 }
 
-/// Says to all boxes, while this one asks engines instead of the store, that it does.
+/// Announces to all boxes, while this box polls engines instead of the store, that it does so.
 pub(crate) async fn run_poll_announcements(relay: Rc<Relay>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
@@ -206,32 +206,32 @@
     }
 }
 
-/// Reads a view as it is now, and says at which version.
+/// Reads the current view and returns its version.
 async fn read_current(relay: &Rc<Relay>, view: View) -> Result<Version, StoreError> {
     let (items, version) = relay.store.list_with_version(prefix_of(view)).await?;
     record_store_recovery(relay);
     metrics::counter!("shuntpier_store_calls", "of" => view.name()).increment(1);
-    let taken = apply_list(relay, view, &items, version);
+    let change = apply_list(relay, view, &items, version);
     relay.confirm(view);
-    match taken {
+    match change {
         ViewChange::Nothing => {}
         ViewChange::Table => spread_table(relay),
-        ViewChange::Targets(Some(told)) => spread_targets(relay, told),
-        // Its version is in what this box says next; whoever lacks something asks for it.
+        ViewChange::Targets(Some(update)) => spread_targets(relay, update),
+        // The announcement contains the version; boxes with missing changes request them.
         ViewChange::Targets(None) => tell_current(relay),
     }
     Ok(version)
 }
 
-/// What a view that was read told that was new.
+/// What changed with a view that was read.
 enum ViewChange {
     Nothing,
     Table,
-    /// What to tell the others; none where that is more than is told.
+    /// Changes to broadcast; `None` if there are too many.
     Targets(Option<TargetChanges>),
 }
 
-/// Takes a view in as it was read.
+/// Applies a view that was read.
 fn apply_list(relay: &Rc<Relay>, view: View, items: &[Versioned], version: Version) -> ViewChange {
     relay.observe_era(version.era(), EraSource::Store);
     match view {
@@ -247,23 +247,23 @@
     }
 }
 
-/// Notes that the store answers again after trouble.
+/// Records that the store answers again after an outage.
 fn record_store_recovery(relay: &Relay) {
     let now_ms = relay.now_ms();
     let confirmed_ms = relay.confirmed_ms(View::Targets);
-    let was_away = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + OUTAGE_MIN_MS < now_ms);
-    if was_away {
+    let had_outage = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + OUTAGE_MIN_MS < now_ms);
+    if had_outage {
         relay.store_back_ms.set(Some(now_ms));
     }
 }
 
-/// Until when entries that are missing may still come back; none where the store had no trouble lately.
+/// End of the grace period for missing entries; `None` if the store had no recent outage.
 fn missing_until_ms(relay: &Relay) -> Option<u64> {
     let until_ms = relay.store_back_ms.get()? + MISSING_GRACE_MS;
     (relay.now_ms() < until_ms).then_some(until_ms)
 }
 
-/// Gives up targets whose entries are still missing after the store has come back, for as long as the box lives.
+/// Removes targets whose entries are missing after the grace period, for the lifetime of the box.
 pub(crate) async fn run_missing_expiry(relay: Rc<Relay>) {
     loop {
         sleep(MISSING_CHECK_INTERVAL).await;
@@ -277,7 +277,7 @@
     }
 }
 
-/// Takes in which data centres are evacuated, as the list of all that operators wrote says it.
+/// Applies the evacuations in a complete list of the operators' declarations.
 fn apply_evacuations(relay: &Rc<Relay>, items: &[Versioned], version: Version) {
     let named = items
         .iter()
@@ -286,7 +286,8 @@
         .collect();
     let may_be_stale = relay.is_settling();
     let changed = relay.update_evacuations("store", |known| match may_be_stale {
-        // An order that the copy lacks may stand, and one that it has may have been taken back: more is withheld for now.
+        // The stale backup may be missing an order that is in force, or contain one that was withdrawn. Until the
+        // store settles, data centres of either set get no work.
         true => known.join(&Evacuations::of_copy(named, version)),
         false => known.read(named, version),
     });
@@ -298,8 +299,9 @@
 fn apply_declaration_events(relay: &Rc<Relay>, events: Vec<WatchEvent>) {
     for event in events {
         if let Some(name) = evacuated_data_centre(&event.key) {
-            let (holds, version) = (event.value.is_some(), event.version());
-            if relay.update_evacuations("store", |known| known.ordered(name, holds, version)) {
+            let (is_evacuated, version) = (event.value.is_some(), event.version());
+            if relay.update_evacuations("store", |known| known.ordered(name, is_evacuated, version))
+            {
                 tell_current(relay);
             }
             continue;
@@ -328,13 +330,13 @@
     }
     changes.extend(targets.replace(entries, version, missing_until_ms, now_ms));
     targets.record_list_read(version, now_ms);
-    let is_told = changes.len() <= BROADCAST_CHANGES_MAX;
-    let told = is_told.then(|| targets.changes_since(&changes, after, now_ms));
+    let is_broadcast = changes.len() <= BROADCAST_CHANGES_MAX;
+    let update = is_broadcast.then(|| targets.changes_since(&changes, after, now_ms));
     drop(targets);
     relay.handle_target_changes(&changes, "store");
     match changes.is_empty() {
         true => ViewChange::Nothing,
-        false => ViewChange::Targets(told),
+        false => ViewChange::Targets(update),
     }
 }
 
@@ -348,7 +350,7 @@
     targets.current_to = targets.current_to.max(version);
 }
 
-/// Takes changes of the list in and tells them to all boxes.
+/// Applies updates of the list of targets and broadcasts the changes.
 fn apply_listing_updates(
     relay: &Rc<Relay>,
     listings: Vec<ListingUpdate>,
@@ -377,12 +379,12 @@
     }
     relay.handle_target_changes(&changes, "store");
     if !changes.is_empty() {
-        let told = TargetChanges {
+        let update = TargetChanges {
             after,
             listed: TargetList::new(&listed),
             unlisted,
             root: None,
         };
-        spread_targets(relay, told);
+        spread_targets(relay, update);
     }
 }
