--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -2,7 +2,9 @@
 //! at a few targets, drawn anew each time, so that its cost does not grow with the targets.
 
 use crate::state::Relay;
-use crate::watch::targets::{COLD_SHARE, ColdRate, FAR_SHARE, Target, TargetRegistry, TargetSlot};
+use crate::watch::targets::{
+    COLD_PENALTY_SHARE, ColdRate, REMOTE_PENALTY_SHARE, Target, TargetRegistry, TargetSlot,
+};
 use policy::{Candidate, HintBudget, RouteStats, SelectionPolicy, TargetStats, choose_target};
 use rand::seq::IndexedRandom;
 use routing::Route;
@@ -120,8 +122,9 @@
             record.route_failures.excess(asked.route, usual.failures)
         };
         let known = self.known(slot);
-        let far = f64::from(u8::from(target.data_centre != relay.data_centre)) * FAR_SHARE;
-        let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
+        let far =
+            f64::from(u8::from(target.data_centre != relay.data_centre)) * REMOTE_PENALTY_SHARE;
+        let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_PENALTY_SHARE;
         Candidate {
             latency_ratio: known.map_or(1.0, |record| record.latency_ratio(now_ms)),
             fullness: target.fullness(now_ms),
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -206,8 +206,8 @@
     let told = &digest.evacuations;
     let era = digest.targets_current_to.max(told.version).era();
     relay.observe_era(era, EraSource::Peer);
-    let may_be_stale = relay.is_settling();
-    relay.update_evacuations("peer", |known| match may_be_stale {
+    let may_be_copied = relay.is_settling();
+    relay.update_evacuations("peer", |known| match may_be_copied {
         true => known.join(told),
         false => known.adopt(told),
     });
--- a/components/relay/src/watch/target.rs
+++ b/components/relay/src/watch/target.rs
@@ -73,11 +73,11 @@
 /// How long a reported load counts, in ms.
 const LOAD_VALID_MS: u64 = 1_000;
 /// How much emptier a target in another data centre must be, as a share of its slots.
-pub(crate) const FAR_SHARE: f64 = 0.3;
+pub(crate) const REMOTE_PENALTY_SHARE: f64 = 0.3;
 /// Assumed slots of a target that does not report them.
 const DEFAULT_SLOTS: f64 = 8.0;
 /// Extra load assumed on a cold target, as a share of its slots.
-pub(crate) const COLD_SHARE: f64 = 0.5;
+pub(crate) const COLD_PENALTY_SHARE: f64 = 0.5;
 
 /// The rate that cold targets of a service can take, for use by one box.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/components/relay/src/watch/targets.rs
+++ b/components/relay/src/watch/targets.rs
@@ -2,7 +2,7 @@
 //! address or name. Entries and lists are applied in [`crate::watch::listing`].
 
 use crate::watch::index::TargetIndex;
-pub(crate) use crate::watch::target::{COLD_SHARE, FAR_SHARE};
+pub(crate) use crate::watch::target::{COLD_PENALTY_SHARE, REMOTE_PENALTY_SHARE};
 pub use crate::watch::target::{ColdRate, Missing, Target, TargetState};
 use crate::watch::tombstones::Tombstones;
 use peers::EngineFault;
@@ -385,8 +385,8 @@
         now_ms: u64,
     ) -> Option<TargetSlot> {
         let rank = |(slot, target): (TargetSlot, &Target)| {
-            let far = f64::from(u8::from(target.data_centre != near)) * FAR_SHARE;
-            let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
+            let far = f64::from(u8::from(target.data_centre != near)) * REMOTE_PENALTY_SHARE;
+            let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_PENALTY_SHARE;
             let ejected = target.outlier.is_ejected(now_ms);
             let full = target.is_full(now_ms);
             let failed_share = target.outlier.failed_share();
