--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -142,7 +142,7 @@
         // A box that has just started first learns its rank.
         return Ok(());
     }
-    slog::info!(relay.log, "store watch started"; "view" => view.name(),
+    slog::info!(relay.log, "store followed by this box"; "view" => view.name(),
         "rank" => rank(relay), "version" => %version);
     let _guard = FollowGuard::begin(relay, view);
     let watch = relay.store.watch_after(prefix_of(view), version);
