--- a/components/relay/src/dispatch/completion.rs
+++ b/components/relay/src/dispatch/completion.rs
@@ -9,7 +9,7 @@
 /// far off.
 const RATIOS_INITIAL: [f64; 8] = [0.2, 0.4, 0.65, 0.85, 1.15, 1.5, 2.4, 5.0];
 /// Time until the first token, and for each further one, before any was seen.
-const BEGIN_INITIAL_MS: f64 = 500.0;
+const FIRST_TOKEN_INITIAL_MS: f64 = 500.0;
 const TOKEN_INITIAL_MS: f64 = 9.0;
 /// Part of the goal for which a generation waits even where its first token will be late anyway: an engine may be
 /// free at once.
@@ -22,7 +22,7 @@
 pub(crate) struct CompletionSample {
     pub guess_tokens: Option<u32>,
     pub tokens: u32,
-    pub first_ms: u64,
+    pub first_token_ms: u64,
     pub total_ms: u64,
 }
 
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CompletionEstimator {
     ratios: VecDeque<f64>,
-    begin_ms: f64,
+    first_token_ms: f64,
     token_ms: f64,
 }
 
@@ -38,7 +38,7 @@
     fn default() -> Self {
         Self {
             ratios: RATIOS_INITIAL.into(),
-            begin_ms: BEGIN_INITIAL_MS,
+            first_token_ms: FIRST_TOKEN_INITIAL_MS,
             token_ms: TOKEN_INITIAL_MS,
         }
     }
@@ -46,11 +46,11 @@
 
 impl CompletionEstimator {
     /// Takes in a generation that came to its own end.
-    pub(crate) fn ended(&mut self, ended: CompletionSample) {
-        self.begin_ms += WEIGHT * (ended.first_ms as f64 - self.begin_ms);
+    pub(crate) fn record(&mut self, ended: CompletionSample) {
+        self.first_token_ms += WEIGHT * (ended.first_token_ms as f64 - self.first_token_ms);
         if ended.tokens > 1 {
-            let token_ms =
-                ended.total_ms.saturating_sub(ended.first_ms) as f64 / f64::from(ended.tokens - 1);
+            let token_ms = ended.total_ms.saturating_sub(ended.first_token_ms) as f64
+                / f64::from(ended.tokens - 1);
             // Short answers say little of the pace.
             let weight = WEIGHT * (f64::from(ended.tokens) / 256.0).min(1.0);
             self.token_ms += weight * (token_ms - self.token_ms);
@@ -67,8 +67,8 @@
 
     /// How long a generation may wait for an engine: beyond that its first token would be late. What would wait
     /// longer is refused at once by the dispatcher.
-    pub(crate) fn wait_ms(&self, goal_ms: u64) -> u64 {
-        let in_goal_ms = goal_ms.saturating_sub(self.begin_ms as u64);
+    pub(crate) fn max_wait_ms(&self, goal_ms: u64) -> u64 {
+        let in_goal_ms = goal_ms.saturating_sub(self.first_token_ms as u64);
         in_goal_ms.max((goal_ms as f64 * WAIT_FLOOR_SHARE) as u64)
     }
 
@@ -79,7 +79,7 @@
         most_tokens: u32,
         left_ms: u64,
     ) -> f64 {
-        let tokens = (left_ms as f64 - self.begin_ms) / self.token_ms;
+        let tokens = (left_ms as f64 - self.first_token_ms) / self.token_ms;
         if tokens >= f64::from(most_tokens) {
             return 1.0;
         }
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -19,18 +19,18 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// How often the requests that wait are looked over.
-const LOOK_EACH: Duration = Duration::from_millis(20);
+const DECISION_INTERVAL: Duration = Duration::from_millis(20);
 /// Prompt tokens that one engine may have waiting for their first token. A longer row holds the tokens of
 /// all that runs there up.
-const PREFILL_TOKENS: u32 = 7_000;
+const PREFILL_TOKENS_MAX: u32 = 7_000;
 /// Standard deviations of the forecast of memory that are kept free. Boxes hear of no preemption, so that nothing raises a
 /// margin that decays.
-const MARGIN: f64 = 1.25;
+const MARGIN_DEVIATIONS: f64 = 1.25;
 /// What an engine near the caller's box is preferred by, in tokens of memory: bytes between data centres
 /// are paid for.
 const NEAR_TOKENS: u32 = 1_500;
 /// How often engines are looked over of which something holds for a time.
-const SYNC_EACH: Duration = Duration::from_millis(500);
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// What is told to come back to where nothing is known of the wait.
 const RETRY_AFTER_MS: u64 = 500;
 
@@ -38,13 +38,13 @@
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     pub(crate) pool: Pool,
-    pub(super) waiting: HashMap<PermitId, Waiting>,
+    pub(super) waiting: HashMap<PermitId, WaitingRequest>,
     /// None where copies do not go one after another.
-    pub(super) turns: Option<TransferSlots>,
+    pub(super) transfer_slots: Option<TransferSlots>,
     /// Nothing is granted before this time.
     pub(super) grants_from_ms: u64,
     /// When boxes were last told that this one dispatches.
-    pub(super) said_ms: u64,
+    pub(super) announced_ms: u64,
     /// When this box began to dispatch the pool.
     pub(super) began_ms: u64,
     log: slog::Logger,
@@ -52,11 +52,11 @@
 
 /// Who waits for a pool's word.
 #[derive(Debug)]
-pub(super) struct Waiting {
-    pub(super) asker: oneshot::Sender<Verdict>,
+pub(super) struct WaitingRequest {
+    pub(super) verdict_sender: oneshot::Sender<Verdict>,
     rank: u8,
     /// When its caller came, on the clock of this box.
-    since_ms: u64,
+    arrived_ms: u64,
 }
 
 fn pool_settings(file: &FleetFile) -> PoolSettings {
@@ -77,7 +77,7 @@
             false => PrefillPolicy::Bound,
         },
         prefill_tokens: match file.has(Mechanism::ReadingBound) {
-            true => PREFILL_TOKENS,
+            true => PREFILL_TOKENS_MAX,
             false => u32::MAX,
         },
         near_tokens: on(Mechanism::NearEngines, NEAR_TOKENS),
@@ -88,14 +88,14 @@
         learns_lengths: file.has(Mechanism::Lengths),
         fair: file.has(Mechanism::Fairness),
         margin_max: margin(usual.margin_max),
-        margin_initial: margin(MARGIN),
-        margin_min: margin(MARGIN),
+        margin_initial: margin(MARGIN_DEVIATIONS),
+        margin_min: margin(MARGIN_DEVIATIONS),
         first_report_ms: 0,
         ..usual
     }
 }
 
-fn pool_of_settings(file: &FleetFile) -> Pool {
+fn pool_from_settings(file: &FleetFile) -> Pool {
     let mut pool = Pool::new(pool_settings(file));
     pool.set_caps(file.accounts.caps().collect());
     pool
@@ -104,11 +104,11 @@
 impl Dispatcher {
     fn new(file: &FleetFile, log: slog::Logger, now_ms: u64) -> Self {
         Self {
-            pool: pool_of_settings(file),
+            pool: pool_from_settings(file),
             waiting: HashMap::new(),
-            turns: file.has(Mechanism::Turns).then(TransferSlots::default),
+            transfer_slots: file.has(Mechanism::Turns).then(TransferSlots::default),
             grants_from_ms: 0,
-            said_ms: 0,
+            announced_ms: 0,
             began_ms: now_ms,
             log,
         }
@@ -119,7 +119,7 @@
         self.pool.set_settings(pool_settings(file));
         self.pool.set_caps(file.accounts.caps().collect());
         let has_turns = file.has(Mechanism::Turns);
-        self.turns = has_turns.then(|| self.turns.take().unwrap_or_default());
+        self.transfer_slots = has_turns.then(|| self.transfer_slots.take().unwrap_or_default());
     }
 
     pub(crate) fn decide(&mut self, now_ms: u64) {
@@ -133,10 +133,10 @@
             if let Verdict::Granted { target } = verdict {
                 slog::info!(self.log, "permit granted"; "entry" => permit.entry.0,
                     "permit" => permit.serial, "rank" => waiting.rank, "engine" => target.0,
-                    "waited_ms" => now_ms.saturating_sub(waiting.since_ms),
+                    "waited_ms" => now_ms.saturating_sub(waiting.arrived_ms),
                     "waiting" => self.waiting.len());
             }
-            if waiting.asker.send(verdict).is_err() {
+            if waiting.verdict_sender.send(verdict).is_err() {
                 // Whoever asked has left: the permit is free again.
                 self.pool.release(permit, 0, StreamEnd::Censored);
             }
@@ -160,11 +160,11 @@
         act: impl FnOnce(&mut Dispatcher, u64) -> T,
     ) -> T {
         if !self.dispatchers.borrow().contains_key(&pool) {
-            let dispatcher = Dispatcher::new(&self.file(), self.log.clone(), self.now_ms());
+            let dispatcher = Dispatcher::new(&self.settings(), self.log.clone(), self.now_ms());
             self.dispatchers.borrow_mut().insert(pool, dispatcher);
             slog::info!(self.log, "dispatching"; "pool" => %pool.model);
             self.sync_dispatchers();
-            self.take_over(pool);
+            self.begin_dispatching(pool);
         }
         let now_ms = self.now_ms();
         let mut dispatchers = self.dispatchers.borrow_mut();
@@ -209,7 +209,7 @@
 
     /// Decides on a request for a permit that was asked at `asked_ms`, waiting up to `wait_ms`. Its caller's place in line
     /// follows from that time: read later, under load, it would be another for each time that it is asked.
-    pub(crate) async fn acquire_here(
+    pub(crate) async fn acquire_local(
         &self,
         request: AcquireRequest,
         asked_ms: u64,
@@ -221,10 +221,10 @@
             if let Some(target) = dispatcher.pool.target_of(request.permit) {
                 return Some(granted(target));
             }
-            let waiting = Waiting {
-                asker,
+            let waiting = WaitingRequest {
+                verdict_sender: asker,
                 rank: demand.rank,
-                since_ms: demand.arrived_ms,
+                arrived_ms: demand.arrived_ms,
             };
             dispatcher.waiting.insert(request.permit, waiting);
             // It is asked with a time to wait once a dispatcher let it wait.
@@ -235,7 +235,7 @@
             match taken {
                 SubmitOutcome::Refused(refusal) => {
                     dispatcher.waiting.remove(&request.permit);
-                    Some(dispatcher.refused(refusal, &demand))
+                    Some(dispatcher.refusal_reply(refusal, &demand))
                 }
                 SubmitOutcome::Queued { .. } => {
                     dispatcher.decide(now_ms);
@@ -249,21 +249,21 @@
         let until = Instant::now() + Duration::from_millis(u64::from(wait_ms));
         loop {
             if let Ok(verdict) = word.try_recv() {
-                return self.reply_of(verdict, &demand, request.pool);
+                return self.verdict_reply(verdict, &demand, request.pool);
             }
             if Instant::now() >= until {
                 return PermitReply::Waiting { place: 0 };
             }
-            let look = until.min(Instant::now() + LOOK_EACH);
+            let look = until.min(Instant::now() + DECISION_INTERVAL);
             if let Ok(Ok(verdict)) = timeout_at(look, &mut word).await {
-                return self.reply_of(verdict, &demand, request.pool);
+                return self.verdict_reply(verdict, &demand, request.pool);
             }
             self.with_dispatcher(request.pool, Dispatcher::decide);
         }
     }
 
     /// Takes a request for a permit back, or releases the permit.
-    pub(crate) fn withdraw_here(&self, pool: PoolId, permit: PermitId) {
+    pub(crate) fn withdraw_local(&self, pool: PoolId, permit: PermitId) {
         self.with_dispatcher(pool, |dispatcher, now_ms| {
             dispatcher.waiting.remove(&permit);
             dispatcher.pool.withdraw(permit);
@@ -272,7 +272,7 @@
     }
 
     /// Takes progress and ends in.
-    pub(crate) fn update_here(&self, request: &UpdateRequest) -> UpdateReply {
+    pub(crate) fn update_local(&self, request: &UpdateRequest) -> UpdateReply {
         let permit = |serial| PermitId {
             entry: request.from,
             life: request.life,
@@ -283,24 +283,24 @@
             let mut known = true;
             for progress in &request.progress {
                 let permit = permit(progress.serial);
-                self.gaps_told(pool, permit, &progress.gaps, now_ms);
+                self.record_gaps(pool, permit, &progress.gaps, now_ms);
                 let is_first = pool.awaits_first_token(permit) && progress.tokens > 0;
                 known &= pool.record_progress(permit, progress.tokens, now_ms);
-                self.made_event(pool.target_of(permit), is_first, now_ms);
+                self.record_engine_event(pool.target_of(permit), is_first, now_ms);
             }
             for ended in &request.ended {
                 let end = match ended.finished {
                     true => StreamEnd::Finished,
                     false => StreamEnd::Censored,
                 };
-                self.gaps_told(pool, permit(ended.serial), &ended.gaps, now_ms);
-                self.note_pause(pool, permit(ended.serial), now_ms);
+                self.record_gaps(pool, permit(ended.serial), &ended.gaps, now_ms);
+                self.record_pause(pool, permit(ended.serial), now_ms);
                 if ended.tokens > 0 {
                     let (target, is_first) = (
                         pool.target_of(permit(ended.serial)),
                         pool.awaits_first_token(permit(ended.serial)),
                     );
-                    self.made_event(target, is_first, now_ms);
+                    self.record_engine_event(target, is_first, now_ms);
                 }
                 pool.release(permit(ended.serial), ended.tokens, end);
             }
@@ -313,9 +313,9 @@
 
     /// Takes over the generations of a box. True where it may have had another dispatcher, and the others are to hear that this
     /// one is back.
-    pub(crate) fn adopt_here(&self, from: BoxId, pool: PoolId, open: &OpenStreams) -> bool {
+    pub(crate) fn adopt_local(&self, from: BoxId, pool: PoolId, open: &OpenStreams) -> bool {
         let now_ms = self.now_ms();
-        let used = self.used_of(&open.used);
+        let used = self.recent_usage(&open.used);
         let demands: Vec<(Demand, &AdoptedStream)> = open
             .streams
             .iter()
@@ -324,7 +324,7 @@
         self.with_dispatcher(pool, |dispatcher, now_ms| {
             let kept: HashSet<PermitId> = demands.iter().map(|(d, _)| d.permit).collect();
             let was_away = dispatcher.pool.adopt_usage(from, &used, now_ms);
-            let says_again = was_away && dispatcher.dispatched_elsewhere(now_ms);
+            let says_again = was_away && dispatcher.record_other_dispatcher(now_ms);
             dispatcher.pool.reconcile_permits(from, &kept, now_ms);
             for (demand, stream) in demands {
                 let adopted = RunningStream {
@@ -342,16 +342,16 @@
     /// Looks over engines that are cold, on trial or passed over no more, and over requests that wait.
     pub(crate) async fn run_dispatchers(&self) {
         loop {
-            sleep(SYNC_EACH).await;
+            sleep(SYNC_INTERVAL).await;
             let passing = self.targets.borrow_mut().take_passing(self.now_ms());
             self.sync_engines(&passing);
-            self.gauge_shares();
-            self.show_forecasts();
+            self.export_share_gauges();
+            self.export_forecast_gauges();
         }
     }
 
     /// Shows by how much forecasts are corrected, ten ranks at the most, and how many engines decisions looked at.
-    fn show_forecasts(&self) {
+    fn export_forecast_gauges(&self) {
         for dispatcher in self.dispatchers.borrow().values() {
             metrics::gauge!("shuntpier_engines_looked_at")
                 .set(dispatcher.pool.engines_checked() as f64);
--- a/components/relay/src/dispatch/reports.rs
+++ b/components/relay/src/dispatch/engine_polls.rs
@@ -1,7 +1,7 @@
 //! While the store cannot be read, engines are asked themselves whether they leave. In quiet times nobody
 //! asks: all load on engines is known without it, and each question is paid for.
 
-use crate::dispatch::asked::{ASKED_MAX, AskRound};
+use crate::dispatch::poll_round::{POLLED_MAX, PollRound};
 use crate::forwarding::control::control;
 use crate::forwarding::outcome::TargetOutcome;
 use crate::state::Relay;
@@ -14,73 +14,73 @@
 use tokio::time::sleep;
 
 /// How often engines are asked. Notice of an engine's end may be as short as 1.5 s.
-const ASK_EACH: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// How often an engine on trial is asked.
-const TRY_EACH: Duration = Duration::from_millis(150);
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// A view of targets that was not confirmed for this long is no base for leaving engines alone.
-const UNCONFIRMED_MS: u64 = 1_200;
+const STALE_VIEW_MS: u64 = 1_200;
 /// The same where this box's own calls to the store fail: the box that follows targets says every 0.4 s that
 /// nothing changed.
-const UNCONFIRMED_FAILING_MS: u64 = 700;
+const STALE_VIEW_STORE_FAILING_MS: u64 = 700;
 
 /// Which engines a box asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asks {
+enum PollScope {
     None,
     /// Those that run something of its own: no other box is heard that asks all.
-    LocalReply,
+    InUse,
     All,
 }
 
-/// Asks engines while the view of targets is not confirmed: all of them where it is this box's turn to follow
+/// Polls engines while the view of targets is not confirmed: all of them where it is this box's turn to follow
 /// the store, and those that run something of its own where no box is heard that asks all.
-pub(crate) async fn run_reports(relay: Rc<Relay>) {
-    let mut asks = Asks::None;
-    let mut round = AskRound::default();
+pub(crate) async fn run_engine_polls(relay: Rc<Relay>) {
+    let mut asks = PollScope::None;
+    let mut round = PollRound::default();
     loop {
-        sleep(ASK_EACH).await;
-        let now = whom_to_ask(&relay);
+        sleep(POLL_INTERVAL).await;
+        let now = poll_scope(&relay);
         let before = std::mem::replace(&mut asks, now);
         if before != asks {
             slog::info!(relay.log, "engines asked themselves"; "asked" => ?asks,
                 "confirmed_ms" => relay.targets.borrow().confirmed_ms,
                 "now_ms" => relay.now_ms());
         }
-        relay.asking.set(asks == Asks::All);
-        if asks != Asks::None {
-            for (slot, address) in engines(&relay, asks == Asks::All, &mut round) {
-                tokio::task::spawn_local(ask(relay.clone(), slot, address));
+        relay.polls_all_engines.set(asks == PollScope::All);
+        if asks != PollScope::None {
+            for (slot, address) in engines_to_poll(&relay, asks == PollScope::All, &mut round) {
+                tokio::task::spawn_local(poll_engine(relay.clone(), slot, address));
             }
         }
     }
 }
 
-fn whom_to_ask(relay: &Relay) -> Asks {
-    match doubt(relay) {
-        false => Asks::None,
+fn poll_scope(relay: &Relay) -> PollScope {
+    match is_target_view_stale(relay) {
+        false => PollScope::None,
         // The first in rank asks whatever others do, so that two never wait for each other.
-        true if rank(relay) == Some(0) => Asks::All,
-        true if another_asks(relay) && asks_all_at_once(relay) => Asks::None,
-        true if is_elected(relay) && !another_asks(relay) => Asks::All,
-        true => Asks::LocalReply,
+        true if rank(relay) == Some(0) => PollScope::All,
+        true if another_asks(relay) && fits_in_one_round(relay) => PollScope::None,
+        true if is_elected(relay) && !another_asks(relay) => PollScope::All,
+        true => PollScope::InUse,
     }
 }
 
 /// Whether one box asks all engines at each look.
-fn asks_all_at_once(relay: &Relay) -> bool {
+fn fits_in_one_round(relay: &Relay) -> bool {
     let Some(held) = relay.declared() else {
         return true;
     };
     let targets = relay.targets.borrow();
     let services = held.table.services.iter().filter(|s| s.engine.is_some());
     let engines = services.map(|service| targets.count_of_service(&service.name));
-    engines.sum::<usize>() <= ASKED_MAX
+    engines.sum::<usize>() <= POLLED_MAX
 }
 
-/// Asks the engines that are on trial here, for as long as the box lives.
-pub(crate) async fn run_trials(relay: Rc<Relay>) {
+/// Polls the engines that are on trial here, for as long as the box lives.
+pub(crate) async fn run_probes(relay: Rc<Relay>) {
     loop {
-        sleep(TRY_EACH).await;
+        sleep(PROBE_INTERVAL).await;
         let now_ms = relay.now_ms();
         let open = {
             let mut targets = relay.targets.borrow_mut();
@@ -89,24 +89,28 @@
             open.filter_map(address).collect::<Vec<_>>()
         };
         for (slot, address) in open {
-            tokio::task::spawn_local(ask(relay.clone(), slot, address));
+            tokio::task::spawn_local(poll_engine(relay.clone(), slot, address));
         }
     }
 }
 
 /// Whether a target may leave without this box hearing of it.
-fn doubt(relay: &Relay) -> bool {
+fn is_target_view_stale(relay: &Relay) -> bool {
     if !relay.knows(View::Targets) {
         return false;
     }
     // A list that was read at the start and that nobody has confirmed since is as old as the box.
     let confirmed_ms = relay.confirmed_ms(View::Targets).unwrap_or_default();
     let age_ms = relay.now_ms().saturating_sub(confirmed_ms);
-    let store_fails = relay.store_fails.get() && age_ms > UNCONFIRMED_FAILING_MS;
-    relay.targets_doubted.get() || store_fails || age_ms > UNCONFIRMED_MS
+    let store_fails = relay.store_failing.get() && age_ms > STALE_VIEW_STORE_FAILING_MS;
+    relay.targets_suspected.get() || store_fails || age_ms > STALE_VIEW_MS
 }
 
-fn engines(relay: &Relay, all: bool, round: &mut AskRound) -> Vec<(TargetSlot, SocketAddr)> {
+fn engines_to_poll(
+    relay: &Relay,
+    all: bool,
+    round: &mut PollRound,
+) -> Vec<(TargetSlot, SocketAddr)> {
     let Some(held) = relay.declared() else {
         return Vec::new();
     };
@@ -135,7 +139,7 @@
     asked.into_iter().filter_map(address).collect()
 }
 
-async fn ask(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
+async fn poll_engine(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
     metrics::counter!("shuntpier_engine_reports").increment(1);
     let answer = control(&relay, address, &report_request(address)).await;
     let report = answer.and_then(|(status, body)| parse_report(status, &body));
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -13,7 +13,7 @@
     service: &'a Service,
     memory_tokens: u32,
     /// Where most engines seem to fail, it is not they that do.
-    trials_count: bool,
+    probation_applies: bool,
     /// The part of the engines' rate limits that this box grants.
     granted_share: f64,
     /// When this box began to dispatch to them.
@@ -21,21 +21,21 @@
 }
 
 /// An engine as its pool is to know it.
-struct KnownEngine {
+struct EngineUpdate {
     info: EngineInfo,
     state: EngineState,
     rate_per_s: Option<f64>,
 }
 
-impl KnownEngine {
-    fn set_in(&self, pool: &mut Pool, now_ms: u64) {
+impl EngineUpdate {
+    fn apply_to(&self, pool: &mut Pool, now_ms: u64) {
         pool.set_engine(self.info, self.state);
         pool.set_rate_limit(self.info.id, self.rate_per_s, now_ms);
     }
 }
 
 impl PoolService<'_> {
-    fn engine(&self, targets: &TargetBook, target: &Target, now_ms: u64) -> KnownEngine {
+    fn update_for(&self, targets: &TargetBook, target: &Target, now_ms: u64) -> EngineUpdate {
         let is_cold = now_ms < target.cold_until_ms;
         let info = EngineInfo {
             id: target.id,
@@ -44,12 +44,12 @@
             cold_rate_per_s: self.service.cold_rate_per_s.filter(|_| is_cold),
         };
         let doubted = target.suspicion.is_ejected(now_ms)
-            || (self.trials_count && target.trial.is_on(now_ms));
+            || (self.probation_applies && target.trial.is_on(now_ms));
         let state = match targets.takes_work(target) && !doubted {
             true => EngineState::Live,
             false => EngineState::Leaving,
         };
-        KnownEngine {
+        EngineUpdate {
             info,
             state,
             rate_per_s: self.rate_per_s(target, now_ms),
@@ -81,7 +81,7 @@
             if let Some(dispatcher) = self.dispatchers.borrow_mut().get_mut(&pool) {
                 dispatcher.pool.set_engines(&infos);
                 for engine in engines {
-                    engine.set_in(&mut dispatcher.pool, now_ms);
+                    engine.apply_to(&mut dispatcher.pool, now_ms);
                 }
                 dispatcher.decide(now_ms);
             }
@@ -110,8 +110,8 @@
                 };
                 match target.and_then(|target| Some((target, serves(target)?))) {
                     Some((target, service)) => {
-                        let engine = service.engine(&targets, target, now_ms);
-                        engine.set_in(&mut dispatcher.pool, now_ms);
+                        let engine = service.update_for(&targets, target, now_ms);
+                        engine.apply_to(&mut dispatcher.pool, now_ms);
                     }
                     None => dispatcher.pool.remove_engine(*id),
                 }
@@ -136,7 +136,7 @@
             Some(PoolService {
                 service,
                 memory_tokens: service.engine?.memory_tokens,
-                trials_count: !targets.most_on_trial(&service.name, now_ms),
+                probation_applies: !targets.most_on_trial(&service.name, now_ms),
                 granted_share,
                 began_ms,
             })
@@ -144,7 +144,7 @@
         engines.collect()
     }
 
-    fn engines_of(&self, pool: PoolId) -> Vec<KnownEngine> {
+    fn engines_of(&self, pool: PoolId) -> Vec<EngineUpdate> {
         let Some(held) = self.declared() else {
             return Vec::new();
         };
@@ -153,14 +153,15 @@
         let mut engines = Vec::new();
         for service in self.services_of(&held, &targets, pool) {
             let of_service = targets.of_service(&service.service.name);
-            engines.extend(of_service.map(|(_, target)| service.engine(&targets, target, now_ms)));
+            engines
+                .extend(of_service.map(|(_, target)| service.update_for(&targets, target, now_ms)));
         }
         engines
     }
 
     /// Puts an engine that failed a generation on trial. One that is silent to one caller and makes events for others is not.
-    pub(crate) fn engine_failed_here(&self, pool: PoolId, target: TargetId, fault: EngineFault) {
-        if !self.file().has(Mechanism::Trials) {
+    pub(crate) fn engine_failed_local(&self, pool: PoolId, target: TargetId, fault: EngineFault) {
+        if !self.settings().has(Mechanism::Trials) {
             return;
         }
         let now_ms = self.now_ms();
@@ -181,7 +182,12 @@
     }
 
     /// Notes that an engine made events, the first of a generation among them or not.
-    pub(crate) fn made_event(&self, target: Option<TargetId>, is_first: bool, now_ms: u64) {
+    pub(crate) fn record_engine_event(
+        &self,
+        target: Option<TargetId>,
+        is_first: bool,
+        now_ms: u64,
+    ) {
         let mut targets = self.targets.borrow_mut();
         let slot = target.and_then(|target| targets.slot_of(target));
         if let Some(target) = slot.and_then(|slot| targets.get_mut(slot)) {
--- a/components/relay/src/dispatch/gaps.rs
+++ b/components/relay/src/dispatch/gaps.rs
@@ -4,25 +4,25 @@
 
 /// Times between events since they were last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Gaps {
+pub(crate) struct PendingGaps {
     events: u32,
     total_ms: u64,
     longest_ms: u64,
     slowness_percent: u32,
 }
 
-fn short(value: u64) -> u16 {
+fn saturating_u16(value: u64) -> u16 {
     u16::try_from(value).unwrap_or(u16::MAX)
 }
 
-impl Gaps {
+impl PendingGaps {
     /// Notes how slow the engine said that work is there.
-    pub(crate) fn said_slowness(&mut self, percent: u32) {
+    pub(crate) fn record_slowness(&mut self, percent: u32) {
         self.slowness_percent = percent;
     }
 
     /// Notes so many events that came so long after the one before.
-    pub(crate) fn took(&mut self, gap_ms: u64, events: u32) {
+    pub(crate) fn record_gap(&mut self, gap_ms: u64, events: u32) {
         self.events += events;
         self.total_ms += gap_ms;
         self.longest_ms = self.longest_ms.max(gap_ms);
@@ -32,10 +32,10 @@
     pub(crate) fn take(&mut self) -> GapsSeen {
         let gaps = std::mem::take(self);
         GapsSeen {
-            events: short(u64::from(gaps.events)),
-            mean_ms: short(gaps.total_ms / u64::from(gaps.events.max(1))),
-            longest_ms: short(gaps.longest_ms),
-            slowness_percent: short(u64::from(gaps.slowness_percent)),
+            events: saturating_u16(u64::from(gaps.events)),
+            mean_ms: saturating_u16(gaps.total_ms / u64::from(gaps.events.max(1))),
+            longest_ms: saturating_u16(gaps.longest_ms),
+            slowness_percent: saturating_u16(u64::from(gaps.slowness_percent)),
         }
     }
 }
--- a/components/relay/src/dispatch/mod.rs
+++ b/components/relay/src/dispatch/mod.rs
@@ -1,16 +1,16 @@
 //! Permits for generations: the pool's dispatcher, and what a box asks it and tells it.
 
-pub(crate) mod asked;
 pub(crate) mod completion;
 pub(crate) mod dispatcher;
+pub(crate) mod engine_polls;
 pub(crate) mod engines;
 pub(crate) mod gaps;
 pub(crate) mod heartbeat;
 pub(crate) mod open_generations;
 pub(crate) mod pace;
 pub(crate) mod permits;
+pub(crate) mod poll_round;
 pub(crate) mod relocation;
-pub(crate) mod reports;
 pub(crate) mod shares;
 pub(crate) mod takeover;
-pub(crate) mod used_lately;
+pub(crate) mod usage_window;
--- a/components/relay/src/dispatch/open_generations.rs
+++ b/components/relay/src/dispatch/open_generations.rs
@@ -1,7 +1,7 @@
 //! The generations that this box has open, as their dispatcher is told of them.
 
-use crate::dispatch::gaps::Gaps;
-use crate::dispatch::used_lately::{Use, UsedLately};
+use crate::dispatch::gaps::PendingGaps;
+use crate::dispatch::usage_window::{GenerationUsage, UsageWindow};
 use peers::{AcquireRequest, AdoptedStream, EndedStream, OpenStreams, StreamProgress};
 use prelude::{BoxId, PoolId, TargetId};
 use std::collections::BTreeMap;
@@ -12,14 +12,14 @@
     pub request: AcquireRequest,
     pub target: TargetId,
     pub tokens: u32,
-    told_tokens: u32,
-    gaps: Gaps,
+    reported_tokens: u32,
+    gaps: PendingGaps,
     began_ms: u64,
 }
 
 impl OpenGeneration {
-    fn used_until(&self, now_ms: u64) -> Use {
-        Use {
+    fn usage_until(&self, now_ms: u64) -> GenerationUsage {
+        GenerationUsage {
             pool: self.request.pool,
             account: self.request.account,
             prompt_tokens: self.request.prompt_tokens,
@@ -31,7 +31,7 @@
 }
 
 /// Tokens after which a dispatcher is told how far a generation is.
-const TOLD_EACH_TOKENS: u32 = 128;
+const REPORT_EACH_TOKENS: u32 = 128;
 
 /// All open generations, and what is to be told.
 #[derive(Clone, Debug, Default)]
@@ -39,9 +39,9 @@
     open: BTreeMap<u64, OpenGeneration>,
     ended: Vec<(PoolId, EndedStream)>,
     next_serial: u64,
-    used_lately: UsedLately,
+    usage_window: UsageWindow,
     /// The dispatchers that were told last.
-    told: BTreeMap<PoolId, BoxId>,
+    last_dispatchers: BTreeMap<PoolId, BoxId>,
 }
 
 impl OpenGenerations {
@@ -50,13 +50,13 @@
         self.next_serial
     }
 
-    pub(crate) fn began(&mut self, request: AcquireRequest, target: TargetId, now_ms: u64) {
+    pub(crate) fn insert(&mut self, request: AcquireRequest, target: TargetId, now_ms: u64) {
         let run = OpenGeneration {
             request,
             target,
             tokens: 0,
-            told_tokens: 0,
-            gaps: Gaps::default(),
+            reported_tokens: 0,
+            gaps: PendingGaps::default(),
             began_ms: now_ms,
         };
         self.open.insert(request.permit.serial, run);
@@ -66,47 +66,47 @@
         self.open.get(&serial).copied()
     }
 
-    pub(crate) fn moved(&mut self, serial: u64, target: TargetId) {
+    pub(crate) fn set_target(&mut self, serial: u64, target: TargetId) {
         if let Some(run) = self.open.get_mut(&serial) {
             run.target = target;
             // What came so far says nothing of the engine where it goes on.
-            run.gaps = Gaps::default();
+            run.gaps = PendingGaps::default();
         }
     }
 
     /// Notes how far a generation is. True where its dispatcher is to be told.
-    pub(crate) fn grew(&mut self, serial: u64, tokens: u32) -> bool {
+    pub(crate) fn record_tokens(&mut self, serial: u64, tokens: u32) -> bool {
         let Some(run) = self.open.get_mut(&serial) else {
             return false;
         };
         let first = run.tokens == 0 && tokens > 0;
         run.tokens = tokens;
-        first || tokens >= run.told_tokens + TOLD_EACH_TOKENS
+        first || tokens >= run.reported_tokens + REPORT_EACH_TOKENS
     }
 
     /// Notes how slow the engine of a generation says that work is there.
-    pub(crate) fn said_slowness(&mut self, serial: u64, percent: u32) {
+    pub(crate) fn record_slowness(&mut self, serial: u64, percent: u32) {
         if let Some(run) = self.open.get_mut(&serial) {
-            run.gaps.said_slowness(percent);
+            run.gaps.record_slowness(percent);
         }
     }
 
     /// Notes how long the engine of a generation took for its next events.
-    pub(crate) fn took(&mut self, serial: u64, engine: TargetId, gap_ms: u64, events: u32) {
+    pub(crate) fn record_gap(&mut self, serial: u64, engine: TargetId, gap_ms: u64, events: u32) {
         let Some(run) = self.open.get_mut(&serial) else {
             return;
         };
         // Its permit may be at the engine where it will go on, while the source still makes events.
         if run.target == engine {
-            run.gaps.took(gap_ms, events);
+            run.gaps.record_gap(gap_ms, events);
         }
     }
 
-    pub(crate) fn ended(&mut self, serial: u64, finished: bool, now_ms: u64) {
+    pub(crate) fn record_end(&mut self, serial: u64, finished: bool, now_ms: u64) {
         let Some(mut run) = self.open.remove(&serial) else {
             return;
         };
-        self.used_lately.ended(run.used_until(now_ms));
+        self.usage_window.record_end(run.usage_until(now_ms));
         let ended = EndedStream {
             serial,
             tokens: run.tokens,
@@ -118,11 +118,15 @@
 
     /// The pools in which something is open or ended, and those of which another dispatcher was told last than `now` names:
     /// what was open when it was told may have ended since.
-    pub(crate) fn pools(&self, now: impl Fn(PoolId) -> Option<BoxId>) -> Vec<PoolId> {
+    pub(crate) fn pools_to_report(&self, now: impl Fn(PoolId) -> Option<BoxId>) -> Vec<PoolId> {
         let open = self.open.values().map(|run| run.request.pool);
         let ended = self.ended.iter().map(|end| end.0);
         let is_new = |(pool, told): &(&PoolId, &BoxId)| now(**pool).is_some_and(|id| id != **told);
-        let moved = self.told.iter().filter(is_new).map(|(pool, _)| *pool);
+        let moved = self
+            .last_dispatchers
+            .iter()
+            .filter(is_new)
+            .map(|(pool, _)| *pool);
         let mut pools: Vec<PoolId> = open.chain(ended).chain(moved).collect();
         pools.sort();
         pools.dedup();
@@ -130,11 +134,14 @@
     }
 
     /// What a pool's dispatcher is not yet told.
-    pub(crate) fn untold(&mut self, pool: PoolId) -> (Vec<StreamProgress>, Vec<EndedStream>) {
+    pub(crate) fn take_unreported(
+        &mut self,
+        pool: PoolId,
+    ) -> (Vec<StreamProgress>, Vec<EndedStream>) {
         let mut progress = Vec::new();
         for (serial, run) in &mut self.open {
-            if run.request.pool == pool && run.tokens > run.told_tokens {
-                run.told_tokens = run.tokens;
+            if run.request.pool == pool && run.tokens > run.reported_tokens {
+                run.reported_tokens = run.tokens;
                 progress.push(StreamProgress {
                     serial: *serial,
                     tokens: run.tokens,
@@ -152,29 +159,29 @@
 
     /// Notes that a box that dispatches a pool is told. Says which other was told last, if any: the new one knows nothing of
     /// this box, or what was true a while ago.
-    pub(crate) fn tells(&mut self, pool: PoolId, dispatcher: BoxId) -> Option<BoxId> {
-        let before = self.told.insert(pool, dispatcher);
+    pub(crate) fn set_dispatcher(&mut self, pool: PoolId, dispatcher: BoxId) -> Option<BoxId> {
+        let before = self.last_dispatchers.insert(pool, dispatcher);
         before.filter(|before| *before != dispatcher)
     }
 
     /// Notes that a dispatcher could not be told, unless another was told meanwhile.
-    pub(crate) fn did_not_tell(&mut self, pool: PoolId, dispatcher: BoxId, before: BoxId) {
-        if self.told.get(&pool) == Some(&dispatcher) {
-            self.told.insert(pool, before);
+    pub(crate) fn restore_dispatcher(&mut self, pool: PoolId, dispatcher: BoxId, before: BoxId) {
+        if self.last_dispatchers.get(&pool) == Some(&dispatcher) {
+            self.last_dispatchers.insert(pool, before);
         }
     }
 
     /// All that a dispatcher that is new to this box is told.
-    pub(crate) fn all_in(&self, pool: PoolId, now_ms: u64) -> OpenStreams {
+    pub(crate) fn snapshot(&self, pool: PoolId, now_ms: u64) -> OpenStreams {
         let of_pool = self.open.values().filter(|run| run.request.pool == pool);
-        let running = of_pool.map(|run| run.used_until(now_ms));
+        let running = of_pool.map(|run| run.usage_until(now_ms));
         OpenStreams {
-            streams: self.open_in(pool),
-            used: self.used_lately.of_pool(pool, running, now_ms),
+            streams: self.streams_in(pool),
+            used: self.usage_window.of_pool(pool, running, now_ms),
         }
     }
 
-    fn open_in(&self, pool: PoolId) -> Vec<AdoptedStream> {
+    fn streams_in(&self, pool: PoolId) -> Vec<AdoptedStream> {
         let of_pool = self.open.values().filter(|run| run.request.pool == pool);
         of_pool
             .map(|run| AdoptedStream {
--- a/components/relay/src/dispatch/pace.rs
+++ b/components/relay/src/dispatch/pace.rs
@@ -7,7 +7,7 @@
 
 impl Relay {
     /// Notes the longest pause of a generation that ended, and what of its engine's pace explains one that was too long.
-    pub(crate) fn note_pause(&self, pool: &Pool, permit: PermitId, now_ms: u64) {
+    pub(crate) fn record_pause(&self, pool: &Pool, permit: PermitId, now_ms: u64) {
         let Some(pause) = pool.pause_prediction(permit) else {
             return;
         };
@@ -31,7 +31,7 @@
     }
 
     /// Takes in how fast the events of a generation came.
-    pub(crate) fn gaps_told(
+    pub(crate) fn record_gaps(
         &self,
         pool: &mut Pool,
         permit: PermitId,
--- a/components/relay/src/dispatch/permits_tests.rs
+++ b/components/relay/src/dispatch/permits_tests.rs
@@ -3,18 +3,18 @@
 
 #[test]
 fn a_request_that_is_asked_again_keeps_its_callers_time_of_coming() {
-    let want = Want {
+    let want = PermitDemand {
         id: "r-1",
         service: "model",
         account: prelude::AccountId::default(),
         kind: 0,
         prompt_tokens: 10,
-        most_tokens: 10,
+        max_tokens: 10,
         rank: 0,
-        came_ms: 1_000,
+        arrived_ms: 1_000,
         pause_goal_ms: None,
-        wait_until_ms: 2_000,
-        due_ms: 6_100,
+        wait_deadline_ms: 2_000,
+        caller_deadline_ms: 6_100,
         avoid: Avoided::default(),
     };
     let first = want.request(PermitId::default(), 1_100);
--- a/components/relay/src/dispatch/asked.rs
+++ b/components/relay/src/dispatch/poll_round.rs
@@ -6,34 +6,34 @@
 
 /// Engines that one box asks at one look, at the most: each question is a channel, and all of them are some hundredths of a
 /// core.
-pub(crate) const ASKED_MAX: usize = 96;
+pub(crate) const POLLED_MAX: usize = 96;
 
 /// Chooses whom to ask at each look.
 #[derive(Debug, Default)]
-pub(crate) struct AskRound {
-    in_use: Turn,
-    others: Turn,
+pub(crate) struct PollRound {
+    in_use: RoundRobin,
+    others: RoundRobin,
 }
 
-impl AskRound {
+impl PollRound {
     /// The engines to ask now, of those that are `ready`; `in_use` are those of them that run something of this box. Both in
     /// the order of their slots.
     pub fn next(&mut self, ready: &[TargetSlot], in_use: &[TargetSlot]) -> Vec<TargetSlot> {
-        let mut asked = self.in_use.next(in_use, ASKED_MAX);
+        let mut asked = self.in_use.next(in_use, POLLED_MAX);
         let is_other = |slot: &TargetSlot| in_use.binary_search(slot).is_err();
         let others: Vec<TargetSlot> = ready.iter().copied().filter(is_other).collect();
-        asked.extend(self.others.next(&others, ASKED_MAX - asked.len()));
+        asked.extend(self.others.next(&others, POLLED_MAX - asked.len()));
         asked
     }
 }
 
 /// Goes round a list some at a time.
 #[derive(Debug, Default)]
-struct Turn {
+struct RoundRobin {
     last: Option<TargetSlot>,
 }
 
-impl Turn {
+impl RoundRobin {
     fn next(&mut self, all: &[TargetSlot], most: usize) -> Vec<TargetSlot> {
         let last = self.last;
         let from = all.partition_point(|slot| Some(*slot) <= last);
@@ -46,5 +46,5 @@
 }
 
 #[cfg(test)]
-#[path = "asked_tests.rs"]
+#[path = "poll_round_tests.rs"]
 mod tests;
--- a/components/relay/src/dispatch/shares.rs
+++ b/components/relay/src/dispatch/shares.rs
@@ -1,7 +1,7 @@
 //! Shares of client accounts at the dispatcher: what boxes tell, why a request was refused, and what operators see.
 
 use crate::dispatch::dispatcher::{Dispatcher, granted};
-use crate::dispatch::permits::Want;
+use crate::dispatch::permits::PermitDemand;
 use crate::state::{Relay, pool_of};
 use operators::{AccountShareView, PoolSharesView, RankShareView};
 use peers::{AccountUsed, AcquireRequest, PermitReply};
@@ -16,18 +16,23 @@
 
 impl Dispatcher {
     /// A refusal, with who stood before the request.
-    pub(crate) fn refused(&self, refusal: Refusal, demand: &Demand) -> PermitReply {
+    pub(crate) fn refusal_reply(&self, refusal: Refusal, demand: &Demand) -> PermitReply {
         PermitReply::RefusedBehind(refusal, self.pool.standing(demand))
     }
 }
 
 impl Relay {
-    pub(crate) fn reply_of(&self, verdict: Verdict, demand: &Demand, pool: PoolId) -> PermitReply {
+    pub(crate) fn verdict_reply(
+        &self,
+        verdict: Verdict,
+        demand: &Demand,
+        pool: PoolId,
+    ) -> PermitReply {
         match verdict {
             Verdict::Granted { target } => granted(target),
-            Verdict::Refused(refusal) => {
-                self.with_dispatcher(pool, |dispatcher, _| dispatcher.refused(refusal, demand))
-            }
+            Verdict::Refused(refusal) => self.with_dispatcher(pool, |dispatcher, _| {
+                dispatcher.refusal_reply(refusal, demand)
+            }),
         }
     }
 
@@ -38,12 +43,12 @@
             account,
             partner_weight: 1.0,
             owner_weight: 1.0,
-            account_weight: self.file().accounts.weight_of(account),
+            account_weight: self.settings().accounts.weight_of(account),
             ..Share::default()
         }
     }
 
-    pub(crate) fn used_of(&self, used: &[AccountUsed]) -> Vec<RecentUsage> {
+    pub(crate) fn recent_usage(&self, used: &[AccountUsed]) -> Vec<RecentUsage> {
         let of_account = |one: &AccountUsed| RecentUsage {
             share: self.share_of(one.account),
             held_token_ms: one.held_token_ms,
@@ -55,7 +60,7 @@
     /// Logs who stood before a request that was refused, beside its name.
     pub(crate) fn log_refusal(
         &self,
-        want: &Want<'_>,
+        want: &PermitDemand<'_>,
         request: &AcquireRequest,
         refusal: Refusal,
         standing: Standing,
@@ -119,7 +124,7 @@
     }
 
     /// Sets the gauges of the largest accounts.
-    pub(crate) fn gauge_shares(&self) {
+    pub(crate) fn export_share_gauges(&self) {
         let mut sums: HashMap<String, (f64, u64)> = HashMap::new();
         for account in self
             .share_views()
--- a/components/relay/src/dispatch/used_lately.rs
+++ b/components/relay/src/dispatch/usage_window.rs
@@ -7,13 +7,13 @@
 /// The window that is told: nobody has an advantage or pays for what was used before it.
 const WINDOW_MS: u64 = 2_000;
 /// Generations that ended and are remembered.
-const ENDED_MAX: usize = 2_048;
+const ENDED_REMEMBERED_MAX: usize = 2_048;
 /// Accounts that are told, those that used most: 20 bytes each.
-const TOLD_MAX: usize = 64;
+const ACCOUNTS_REPORTED_MAX: usize = 64;
 
 /// A generation that runs, or that ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Use {
+pub(crate) struct GenerationUsage {
     pub pool: PoolId,
     pub account: AccountId,
     pub prompt_tokens: u32,
@@ -23,7 +23,7 @@
     pub ended_ms: u64,
 }
 
-impl Use {
+impl GenerationUsage {
     fn add_to(&self, used: &mut AccountUsed, now_ms: u64) {
         let from_ms = now_ms.saturating_sub(WINDOW_MS);
         let held_ms = self.ended_ms.saturating_sub(self.began_ms.max(from_ms));
@@ -38,16 +38,16 @@
 
 /// Generations that ended within the window.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UsedLately {
-    ended: VecDeque<Use>,
+pub(crate) struct UsageWindow {
+    ended: VecDeque<GenerationUsage>,
 }
 
-impl UsedLately {
+impl UsageWindow {
     /// Notes a generation that ended.
-    pub(crate) fn ended(&mut self, one: Use) {
+    pub(crate) fn record_end(&mut self, one: GenerationUsage) {
         let from_ms = one.ended_ms.saturating_sub(WINDOW_MS);
         while self.ended.front().is_some_and(|old| old.ended_ms < from_ms)
-            || self.ended.len() >= ENDED_MAX
+            || self.ended.len() >= ENDED_REMEMBERED_MAX
         {
             self.ended.pop_front();
         }
@@ -58,11 +58,12 @@
     pub(crate) fn of_pool(
         &self,
         pool: PoolId,
-        running: impl Iterator<Item = Use>,
+        running: impl Iterator<Item = GenerationUsage>,
         now_ms: u64,
     ) -> Vec<AccountUsed> {
         let mut by_account: BTreeMap<AccountId, AccountUsed> = BTreeMap::new();
-        let in_window = |one: &Use| one.pool == pool && one.ended_ms + WINDOW_MS >= now_ms;
+        let in_window =
+            |one: &GenerationUsage| one.pool == pool && one.ended_ms + WINDOW_MS >= now_ms;
         for one in self.ended.iter().copied().chain(running).filter(in_window) {
             let used = by_account.entry(one.account).or_insert(AccountUsed {
                 account: one.account,
@@ -72,11 +73,11 @@
         }
         let mut used: Vec<AccountUsed> = by_account.into_values().collect();
         used.sort_by_key(|one| std::cmp::Reverse(one.held_token_ms));
-        used.truncate(TOLD_MAX);
+        used.truncate(ACCOUNTS_REPORTED_MAX);
         used
     }
 }
 
 #[cfg(test)]
-#[path = "used_lately_tests.rs"]
+#[path = "usage_window_tests.rs"]
 mod tests;
--- a/components/relay/src/dispatch/used_lately_tests.rs
+++ b/components/relay/src/dispatch/usage_window_tests.rs
@@ -6,8 +6,8 @@
     shard: 0,
 };
 
-fn one(account: u64, began_ms: u64, ended_ms: u64) -> Use {
-    Use {
+fn one(account: u64, began_ms: u64, ended_ms: u64) -> GenerationUsage {
+    GenerationUsage {
         pool: POOL,
         account: AccountId(account),
         prompt_tokens: 1_000,
@@ -19,9 +19,9 @@
 
 #[test]
 fn what_was_held_before_the_window_does_not_count() {
-    let mut lately = UsedLately::default();
-    lately.ended(one(1, 0, 9_000));
-    lately.ended(one(2, 5_000, 8_500));
+    let mut lately = UsageWindow::default();
+    lately.record_end(one(1, 0, 9_000));
+    lately.record_end(one(2, 5_000, 8_500));
     let running = [one(1, 9_900, 10_000)];
     let used = lately.of_pool(POOL, running.into_iter(), 10_000);
     let held: Vec<_> = used
@@ -35,10 +35,13 @@
 
 #[test]
 fn what_is_remembered_and_told_is_bounded() {
-    let mut lately = UsedLately::default();
+    let mut lately = UsageWindow::default();
     for at in 0..100_000 {
-        lately.ended(one(at, 0, 1_000));
+        lately.record_end(one(at, 0, 1_000));
     }
-    assert_eq!(lately.ended.len(), ENDED_MAX);
-    assert_eq!(lately.of_pool(POOL, [].into_iter(), 1_000).len(), TOLD_MAX);
+    assert_eq!(lately.ended.len(), ENDED_REMEMBERED_MAX);
+    assert_eq!(
+        lately.of_pool(POOL, [].into_iter(), 1_000).len(),
+        ACCOUNTS_REPORTED_MAX
+    );
 }
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -145,7 +145,7 @@
         tried: &[TargetSlot],
     ) -> Option<TargetSlot> {
         let book = self.targets.borrow();
-        if self.file().has(Mechanism::CallBalance) {
+        if self.settings().has(Mechanism::CallBalance) {
             let mut balance = self.balance.borrow_mut();
             let (drawn, is_all) = balance.drawn(self, &book, asked.service);
             let given = self.given(&balance, &book, drawn, asked, tried);
--- a/components/relay/src/forwarding/beside.rs
+++ b/components/relay/src/forwarding/beside.rs
@@ -31,7 +31,7 @@
         Err(why) => return Offer::NotRun(why).noted(relay, incoming, way, slot),
     };
     let another = route.kind == RouteKind::Repeatable && attempts.runs + 1 < route.runs_most;
-    let beside = another && relay.file().has(Mechanism::SecondBeside);
+    let beside = another && relay.settings().has(Mechanism::SecondBeside);
     let left_ms = incoming.left_ms(route, relay.now_ms());
     let hedge_delay_ms = relay.hedge_delay_for(route).min(left_ms);
     let limit_ms = match another && !beside {
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -104,7 +104,7 @@
 /// Serves a plain request.
 pub(crate) async fn call(relay: &Rc<Relay>, incoming: &Incoming, way: &Way) -> Reply {
     let service = &way.service().name;
-    relay.resend_window(service, |window, now_ms| window.record_request(now_ms));
+    relay.with_retry_window(service, |window, now_ms| window.record_request(now_ms));
     let mut attempts = CallAttempts::default();
     let due_ms = incoming.due_ms(way.route());
     wait_for_room(relay, incoming, way).await;
@@ -156,7 +156,7 @@
     attempts: &mut CallAttempts,
 ) -> Option<Reply> {
     let is_again = attempts.arrivals > 0;
-    if is_again && !relay.take_resend(&way.service().name) {
+    if is_again && !relay.try_take_retry(&way.service().name) {
         return None;
     }
     let began_ms = relay.now_ms();
@@ -184,7 +184,7 @@
     let now_ms = relay.now_ms();
     let may_run_again = route.kind == RouteKind::Repeatable
         && attempts.runs < route.runs_most
-        && relay.file().has(Mechanism::SecondSends);
+        && relay.settings().has(Mechanism::SecondSends);
     if now_ms >= due_ms || attempts.offered.len() >= OFFERS_MAX {
         return None;
     }
@@ -198,7 +198,7 @@
         return None;
     }
     let again = attempts.arrivals > 0;
-    if again && !relay.take_resend(service) {
+    if again && !relay.try_take_retry(service) {
         return None;
     }
     relay.targets.borrow_mut().chosen(slot, asked.cold, now_ms);
@@ -235,5 +235,8 @@
         _ if relay.now_ms() >= due_ms => LocalReply::TimeOver,
         _ => LocalReply::MayHaveRun(attempts.last),
     };
-    Reply::own(relay.as_told(own), incoming.facts.request_id.as_deref())
+    Reply::own(
+        relay.caller_reply(own),
+        incoming.facts.request_id.as_deref(),
+    )
 }
--- a/components/relay/src/forwarding/call_records.rs
+++ b/components/relay/src/forwarding/call_records.rs
@@ -100,7 +100,7 @@
             .route(route_key(route))
             .failures
             .is_common();
-        is_common && self.file().has(Mechanism::CallBalance)
+        is_common && self.settings().has(Mechanism::CallBalance)
     }
 
     /// The usual time of a route's calls, where it is known.
@@ -120,7 +120,7 @@
     /// Notes that a target refused a call as full.
     pub(crate) fn call_refused(&self, slot: TargetSlot) {
         let open = self.open_at(slot);
-        if !self.file().has(Mechanism::CallLimits) {
+        if !self.settings().has(Mechanism::CallLimits) {
             return;
         }
         let now_ms = self.now_ms();
@@ -135,7 +135,7 @@
     pub(crate) fn hedge_delay_for(&self, route: &Route) -> u64 {
         let usual_ms = self
             .usual_ms(route)
-            .filter(|_| self.file().has(Mechanism::SecondBeside));
+            .filter(|_| self.settings().has(Mechanism::SecondBeside));
         hedge_delay_ms(route.answer_goal_ms, usual_ms)
     }
 }
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -2,7 +2,7 @@
 //! goes on at another (see [`crate::migration::mover`]).
 
 use crate::dispatch::dispatcher::refusal;
-use crate::dispatch::permits::{Permit, Want};
+use crate::dispatch::permits::{Permit, PermitDemand};
 use crate::forwarding::admission::SendKind;
 use crate::forwarding::offer::NO_MEMORY;
 use crate::forwarding::outcome::TargetOutcome;
@@ -56,7 +56,7 @@
         return not_begun(relay, caller, incoming, way, own).await;
     }
     let service = &way.service().name;
-    relay.resend_window(service, |window, now_ms| window.record_request(now_ms));
+    relay.with_retry_window(service, |window, now_ms| window.record_request(now_ms));
     let started = tokio::select! {
         started = start(relay, incoming, way) => started,
         () = caller.gone() => {
@@ -83,7 +83,7 @@
     way: &Way,
     own: LocalReply,
 ) -> After {
-    let own = relay.as_told(own);
+    let own = relay.caller_reply(own);
     slog::info!(relay.log, "generation not begun"; "id" => incoming.id(), "request" => %incoming.key,
         "account" => way.account_name(), "rank" => way.rank(),
         "status" => own.status(), "why" => own.why(), "retry_after_ms" => own.retry_after_ms(),
@@ -103,7 +103,7 @@
 ) -> After {
     let status = opened.head.status;
     let vouched = opened.is_vouched() && status != 200;
-    let mut held = Held::new(&relay.held, Some(way.account_id()));
+    let mut held = Held::new(&relay.memory, Some(way.account_id()));
     let due_ms = incoming.due_ms(way.route());
     let left = Duration::from_millis(due_ms.saturating_sub(relay.now_ms()));
     let whole = timeout(left, opened.read_whole(&mut held)).await;
@@ -165,12 +165,12 @@
     let generation = incoming.facts.generation.clone().unwrap_or_default();
     let told_guess = generation
         .guess_tokens
-        .filter(|_| relay.file().has(Mechanism::Guesses));
+        .filter(|_| relay.settings().has(Mechanism::Guesses));
     let due_ms = incoming.due_ms(route);
     let goal_ms = route.answer_goal_ms;
-    let wait_ms = match relay.file().has(Mechanism::WaitForecast) {
+    let wait_ms = match relay.settings().has(Mechanism::WaitForecast) {
         true => goal_ms.saturating_sub(WAY_MS),
-        false => relay.completion.borrow().wait_ms(goal_ms),
+        false => relay.completion.borrow().max_wait_ms(goal_ms),
     };
     let wait_until_ms = incoming.came_ms + wait_ms;
     let mut failed: Option<TargetId> = None;
@@ -183,21 +183,21 @@
             last.retry_after_ms = Some(retry_after_ms);
             break;
         }
-        let want = Want {
+        let want = PermitDemand {
             id: incoming.id(),
             service: &way.service().name,
             account: way.account_id(),
             kind: kind_of(told_guess, way.rank()),
             prompt_tokens: generation.prompt_tokens,
-            most_tokens: generation.most_tokens,
+            max_tokens: generation.most_tokens,
             rank: way.rank(),
-            came_ms: incoming.came_ms,
+            arrived_ms: incoming.came_ms,
             pause_goal_ms: route.pause_goal_ms,
-            wait_until_ms: wait_until_ms.min(due_ms),
-            due_ms,
+            wait_deadline_ms: wait_until_ms.min(due_ms),
+            caller_deadline_ms: due_ms,
             avoid: relay.avoided(service, failed),
         };
-        if arrived && !relay.take_resend(&way.service().name) {
+        if arrived && !relay.try_take_retry(&way.service().name) {
             return Started::LocalReply(not_run(refusal(RefusalReason::RetryBudgetSpent)));
         }
         let asked_ms = now_ms;
@@ -226,7 +226,7 @@
         };
         relay.record_outcome(slot, outcome_of(&tried));
         if outcome_of(&tried) == TargetOutcome::Failed {
-            relay.tell_engine_failed(permit.pool, slot, EngineFault::Broke);
+            relay.notify_engine_failed(permit.pool, slot, EngineFault::Broke);
         }
         match tried {
             Tried::Answered(opened) => {
@@ -270,7 +270,7 @@
         biased;
         done = &mut waiting => return done,
         () = sleep(limit) => {
-            relay.tell_engine_failed(permit.pool, permit.slot, EngineFault::Silent);
+            relay.notify_engine_failed(permit.pool, permit.slot, EngineFault::Silent);
         }
     }
     waiting.await
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -95,7 +95,7 @@
             _ => UNREPEATABLE_REST_MS,
         },
     };
-    let mut held = Held::new(&relay.held, Some(way.account_id()));
+    let mut held = Held::new(&relay.memory, Some(way.account_id()));
     let trying = try_whole(relay, admission, message, &mut held);
     let offer = timeout(Duration::from_millis(limit_ms), trying).await;
     let mut offer = offer.unwrap_or(Offer::MayHaveRun(NO_ANSWER_IN_TIME));
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -71,7 +71,7 @@
                     target.suspicion.record_success();
                 }
             }
-            TargetOutcome::Failed if self.file().has(Mechanism::Suspicion) => {
+            TargetOutcome::Failed if self.settings().has(Mechanism::Suspicion) => {
                 targets.failed(slot, now_ms);
             }
             TargetOutcome::Failed
--- a/components/relay/src/forwarding/room.rs
+++ b/components/relay/src/forwarding/room.rs
@@ -52,7 +52,7 @@
 /// Waits while all targets of a call are full. After that it is offered to one of them all the same: whether it is
 /// refused is the target's word.
 pub(super) async fn wait_for_room(relay: &Rc<Relay>, incoming: &Incoming, way: &Way) {
-    if !relay.file().has(Mechanism::CallLimits) || !relay.is_full(&asked(relay, way)) {
+    if !relay.settings().has(Mechanism::CallLimits) || !relay.is_full(&asked(relay, way)) {
         return;
     }
     let until_ms = waits_until_ms(relay, incoming, way);
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -128,7 +128,7 @@
 impl Relay {
     /// Whether this box may have so many more bytes of requests at a target: the bound holds for all boxes together.
     fn has_request_room(&self, slot: TargetSlot, more: u64) -> bool {
-        let most_bytes = self.file().limits.target_request_bytes();
+        let most_bytes = self.settings().limits.target_request_bytes();
         let part = most_bytes / self.members.borrow().budget_share() as u64;
         let targets = self.targets.borrow();
         let held = targets.get(slot).map_or(0, |target| target.open_bytes);
@@ -220,7 +220,7 @@
         if opened.facts.is_not_run {
             let retry_after_ms = opened.facts.retry_after_ms.value();
             // The short body is read so that the channel can be used again; its loss changes nothing.
-            let mut held = Held::new(&self.held, None);
+            let mut held = Held::new(&self.memory, None);
             let _ = opened.read_whole(&mut held).await;
             opened.finish(self);
             return Tried::NotRun(NotRun::Refused { retry_after_ms });
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -68,7 +68,7 @@
             permit,
             engine: way.service().engine,
             splitter: EventSplitter::default(),
-            unsent: Unsent::new(&relay.held, way.account_id()),
+            unsent: Unsent::new(&relay.memory, way.account_id()),
             last_event: None,
             events: 0,
             head_written: false,
@@ -82,11 +82,11 @@
 
     pub(crate) async fn run(mut self, caller: &mut Channel, opened: Opened) -> After {
         let closes = self.relay.sheds_channel() || self.incoming.head.old;
-        self.permit.said_slowness(opened.slowness_percent());
+        self.permit.record_slowness(opened.slowness_percent());
         let ended = self.forward_events(caller, opened, closes).await;
         let finished = ended == Ended::Whole;
         if finished {
-            self.permit.finished();
+            self.permit.mark_finished();
             self.relay.served(self.incoming.key);
             self.note_end();
         }
@@ -125,10 +125,10 @@
         let ended = CompletionSample {
             guess_tokens: generation.and_then(|generation| generation.guess_tokens),
             tokens: self.events * self.tokens_per_event(),
-            first_ms: self.first_event_ms.unwrap_or_default(),
+            first_token_ms: self.first_event_ms.unwrap_or_default(),
             total_ms: self.relay.now_ms() - self.incoming.came_ms,
         };
-        self.relay.completion.borrow_mut().ended(ended);
+        self.relay.completion.borrow_mut().record(ended);
     }
 
     /// Whether the first event came after the route's goal.
@@ -258,7 +258,7 @@
     fn tell_engine(&self, fault: EngineFault) {
         let permit = &self.permit;
         self.relay
-            .tell_engine_failed(permit.pool, permit.slot, fault);
+            .notify_engine_failed(permit.pool, permit.slot, fault);
     }
 
     /// Notes that the generation did not come to its end at its engine.
@@ -299,7 +299,7 @@
         }
         let now_ms = self.relay.now_ms();
         match self.pauses.event(now_ms) {
-            Some((pause_ms, PauseIn::Engine)) => self.permit.took(pause_ms, events.count),
+            Some((pause_ms, PauseIn::Engine)) => self.permit.record_gap(pause_ms, events.count),
             Some(_) => {}
             None => self.first_event_ms = Some(now_ms - self.incoming.came_ms),
         }
@@ -307,7 +307,8 @@
         if events.last_id.is_some() {
             self.last_event = events.last_id;
         }
-        self.permit.grew(self.events * self.tokens_per_event());
+        self.permit
+            .record_tokens(self.events * self.tokens_per_event());
         let mut out = Vec::with_capacity(events.bytes.len() + 512);
         let chunked = !self.incoming.head.old;
         if !std::mem::replace(&mut self.head_written, true) {
@@ -369,7 +370,7 @@
                     self.moves += 1;
                     self.began_ms = self.relay.now_ms();
                     self.pauses.passes_in(PauseIn::Move);
-                    self.permit.said_slowness(opened.slowness_percent());
+                    self.permit.record_slowness(opened.slowness_percent());
                     metrics::counter!("shuntpier_moves", "end" => "done").increment(1);
                     slog::info!(self.relay.log, "generation goes on"; "id" => self.incoming.id(),
                         "events" => self.events, "copy" => &*continuation.copy);
--- a/components/relay/src/held/deliver.rs
+++ b/components/relay/src/held/deliver.rs
@@ -41,13 +41,13 @@
     /// Whether the caller is to be ended; the log says why.
     pub(crate) fn is_over(self, relay: &Relay, id: &str, held: &Held) -> bool {
         let silent = self.0.elapsed();
-        let limit = Duration::from_secs_f64(relay.file().limits.unread_limit_s);
+        let limit = Duration::from_secs_f64(relay.settings().limits.unread_limit_s);
         let why = match silent {
             silent if silent >= limit => "limit",
             silent if silent >= SILENCE_WHERE_SHORT && held.is_wanted() => "memory",
             _ => return false,
         };
-        let (box_bytes, most_bytes) = relay.held.fill();
+        let (box_bytes, most_bytes) = relay.memory.fill();
         slog::warn!(relay.log, "caller does not read"; "id" => id, "why" => why,
             "silent_ms" => silent.as_millis() as u64, "held_bytes" => held.bytes(),
             "box_held_bytes" => box_bytes, "box_most_bytes" => most_bytes);
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -89,7 +89,7 @@
 }
 
 async fn serve_request(relay: &Rc<Relay>, channel: &mut Channel) -> After {
-    let _in_progress = relay.begin();
+    let _in_progress = relay.track_request();
     let came_ms = relay.now_ms();
     let limits = limits(relay);
     let head = match read_head(channel, limits).await {
@@ -97,7 +97,7 @@
         Ok(None) => return After::Drop,
         Err(own) => return refuse(relay, channel, own, None).await,
     };
-    let mut held = Held::new(&relay.held, None);
+    let mut held = Held::new(&relay.memory, None);
     let body = match read_body(channel, &head, relay, limits, &mut held).await {
         Ok(body) => body,
         Err(Some(own)) => return refuse(relay, channel, own, None).await,
@@ -256,7 +256,7 @@
 ) -> After {
     let closes = closes || relay.sheds_channel();
     let (mut head, body, held) = reply.parts(closes);
-    let held = held.unwrap_or_else(|| Rc::new(Held::new(&relay.held, None)));
+    let held = held.unwrap_or_else(|| Rc::new(Held::new(&relay.memory, None)));
     let joined = body.len() <= JOINED_BYTES_MAX;
     if joined {
         head.extend_from_slice(&body);
--- a/components/relay/src/ingress/overrun.rs
+++ b/components/relay/src/ingress/overrun.rs
@@ -36,7 +36,7 @@
         let late_ms = due.elapsed().as_millis() as u64;
         metrics::histogram!("shuntpier_loop_late_ms").record(late_ms as f64);
         was_late = is_late(late_ms);
-        let overrun = meter.woke(late_ms) && relay.file().has(Mechanism::StandBack);
+        let overrun = meter.woke(late_ms) && relay.settings().has(Mechanism::StandBack);
         let now_ms = relay.now_ms();
         if overrun != was_overrun {
             slog::info!(relay.log, "box overrun"; "overrun" => overrun,
@@ -45,7 +45,7 @@
             was_overrun = overrun;
         }
         if !overrun {
-            relay.stands_back_until_ms.set(0);
+            relay.sheds_load_until_ms.set(0);
         } else if now_ms >= ask_at_ms && !relay.is_stopping() {
             ask_at_ms = now_ms + ASK_EACH_MS;
             let asked = relay.clone();
@@ -67,12 +67,12 @@
             true => holds_until_ms(asked_ms),
             false => 0,
         };
-        self.stands_back_until_ms.set(until_ms);
+        self.sheds_load_until_ms.set(until_ms);
     }
 
     /// Whether this box takes no new channels for now, as it is overrun and others are not.
     pub(crate) fn stands_back(&self) -> bool {
-        self.now_ms() < self.stands_back_until_ms.get()
+        self.now_ms() < self.sheds_load_until_ms.get()
     }
 
     /// Whether the channel of an answer is closed after it, so that its caller finds another box.
--- a/components/relay/src/ingress/stopping.rs
+++ b/components/relay/src/ingress/stopping.rs
@@ -29,7 +29,7 @@
 }
 
 fn grace_ms(relay: &Relay) -> u64 {
-    (relay.file().promises.stop_grace_s * 1000.0) as u64
+    (relay.settings().promises.stop_grace_s * 1000.0) as u64
 }
 
 /// Why a stopping box does not begin a generation: it is less likely to end here in time than its caller is to find
@@ -48,7 +48,7 @@
         return None;
     }
     let is_early =
-        relay.file().has(Mechanism::StopChances) && left_ms + STOP_CHANCES_MS > grace_ms(relay);
+        relay.settings().has(Mechanism::StopChances) && left_ms + STOP_CHANCES_MS > grace_ms(relay);
     let outlook = relay.completion.borrow();
     let ends =
         outlook.completion_probability(generation.guess_tokens, generation.most_tokens, left_ms);
--- a/components/relay/src/membership/broadcast.rs
+++ b/components/relay/src/membership/broadcast.rs
@@ -108,7 +108,7 @@
         .call(id, CALL_LIMIT, |client, context| async move {
             client.tell(context, news).await
         });
-    relay.heard_from(id, call.await, "tell").is_some()
+    relay.record_peer_result(id, call.await, "tell").is_some()
 }
 
 /// Boxes with the addresses that this one knows of them.
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -29,7 +29,7 @@
 /// Exchanges what this box knows with one other after another, for as long as it lives.
 pub(crate) async fn run_exchanges(relay: Rc<Relay>) {
     meet_seeds(&relay).await;
-    let mut turn = usize::from(relay.life as u16);
+    let mut turn = usize::from(relay.incarnation as u16);
     loop {
         let pause = match relay.knows(View::Targets) {
             true => EXCHANGE_EACH,
@@ -85,7 +85,7 @@
         .call(id, CALL_LIMIT, |client, context| async move {
             client.exchange(context, digest).await
         });
-    if let Some(news) = relay.heard_from(id, call.await, "exchange") {
+    if let Some(news) = relay.record_peer_result(id, call.await, "exchange") {
         on_gossip(relay, news);
     }
 }
@@ -104,19 +104,19 @@
         .call(id, FETCH_LIMIT, |client, context| async move {
             client.fetch(context, request).await
         });
-    if let Some(news) = relay.heard_from(id, call.await, "fetch") {
+    if let Some(news) = relay.record_peer_result(id, call.await, "fetch") {
         on_gossip(relay, news);
     }
 }
 
 /// Asks the boxes that the settings name, which may be gone.
 async fn meet_seeds(relay: &Rc<Relay>) {
-    let seeds = relay.file().seeds.clone();
+    let seeds = relay.settings().seeds.clone();
     let own = relay.identity.peers_address;
     let others = seeds.into_iter().filter(|seed| *seed != own).enumerate();
     let asked = others.map(|(at, seed)| meet_seed(relay, at, seed));
     futures::future::join_all(asked).await;
-    relay.seeds_asked.send_replace(true);
+    relay.seeds_queried.send_replace(true);
 }
 
 async fn meet_seed(relay: &Rc<Relay>, at: usize, seed: SocketAddr) {
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -30,7 +30,7 @@
 /// Takes the card of a box in.
 pub(crate) fn upsert_member(relay: &Relay, card: &FleetCard, keyed: bool) {
     let now_ms = relay.now_ms();
-    let was_cut_off = !keyed && relay.is_cut_off(now_ms);
+    let was_cut_off = !keyed && relay.has_lost_all_peers(now_ms);
     let met = relay
         .members
         .borrow_mut()
@@ -44,7 +44,7 @@
             "life" => card.life, "address" => %card.address, "keyed" => keyed);
     }
     relay.peers.set_address(card.id, card.address);
-    relay.note_heard(met, was_cut_off);
+    relay.handle_peer_contact(met, was_cut_off);
 }
 
 /// What every box is told in short.
@@ -52,7 +52,7 @@
     FleetGossip {
         digest: relay.digest(),
         follows_store: relay.following.get().any(),
-        asks_engines: relay.asking.get(),
+        asks_engines: relay.polls_all_engines.get(),
         table: None,
         target_patch: None,
         target_changes: None,
@@ -91,7 +91,7 @@
 /// Whether the list may be told to a box: it needs little of it, or the lists told before have left. A box that is told none
 /// hears of it again from the next one that it meets.
 fn may_tell_list(relay: &Relay, summary: &TargetSummary) -> bool {
-    !needs_all(summary) || relay.lists_told.get().is_free(relay.now_ms())
+    !needs_all(summary) || relay.list_budget.get().is_free(relay.now_ms())
 }
 
 fn needs_all(summary: &TargetSummary) -> bool {
@@ -101,10 +101,10 @@
 /// Notes that a whole list is on its way to a box that had none.
 fn note_list_told(relay: &Relay, to: BoxId, whole: Option<&TargetPatch>) {
     if let Some(whole) = whole {
-        let mut budget = relay.lists_told.get();
-        let link_mbps = relay.file().limits.link_mbps;
+        let mut budget = relay.list_budget.get();
+        let link_mbps = relay.settings().limits.link_mbps;
         budget.note(whole.listed.wire_bytes(), link_mbps, relay.now_ms());
-        relay.lists_told.set(budget);
+        relay.list_budget.set(budget);
         slog::info!(relay.log, "list of targets told"; "to" => to.0,
             "targets" => whole.listed.len());
     }
@@ -156,14 +156,14 @@
     if let Some(table) = news.table {
         match unpack(&table.packed) {
             Ok(text) => {
-                relay.declare(&text, "peer");
+                relay.apply_declarations(&text, "peer");
             }
             Err(error) => slog::warn!(relay.log, "declarations of a peer not used";
                 "version" => table.version, "error" => %error),
         }
     }
     if news.asks_engines {
-        relay.heard_asker_ms.set(relay.now_ms());
+        relay.other_poller_seen_ms.set(relay.now_ms());
     }
     let fetched = take_patch(relay, &news.digest, news.target_patch);
     relay.took_changes(&fetched, "fetch");
@@ -237,9 +237,9 @@
     if !relay.targets.borrow().is_known() {
         return own < told;
     }
-    let mut lacking = relay.lacking.get();
+    let mut lacking = relay.missing_changes.get();
     let is_due = lacking.is_due(own, told, relay.now_ms());
-    relay.lacking.set(lacking);
+    relay.missing_changes.set(lacking);
     is_due
 }
 
@@ -329,32 +329,32 @@
         // A dispatcher that has just started would refuse for want of engines that it does not know yet.
         self.0.wait_until_synced().await;
         let now_ms = self.0.now_ms();
-        self.0.acquire_here(request, now_ms, wait_ms).await
+        self.0.acquire_local(request, now_ms, wait_ms).await
     }
 
     async fn withdraw(&self, pool: PoolId, permit: PermitId) {
-        self.0.withdraw_here(pool, permit);
+        self.0.withdraw_local(pool, permit);
     }
 
     async fn relocate(&self, request: RelocateRequest) -> RelocateReply {
-        self.0.relocate_here(&request).await
+        self.0.relocate_local(&request).await
     }
 
     async fn relocated(&self, pool: PoolId, permit: PermitId, from: TargetId) {
-        self.0.relocated_here(pool, permit, from);
+        self.0.release_transfer_local(pool, permit, from);
     }
 
     async fn engine_failed(&self, pool: PoolId, target: TargetId, fault: EngineFault) {
-        self.0.engine_failed_here(pool, target, fault);
+        self.0.engine_failed_local(pool, target, fault);
     }
 
     async fn update(&self, request: UpdateRequest) -> UpdateReply {
-        self.0.update_here(&request)
+        self.0.update_local(&request)
     }
 
     async fn adopt(&self, from: BoxId, pool: PoolId, open: OpenStreams) {
-        if self.0.adopt_here(from, pool, &open) {
-            self.0.dispatches_again(pool);
+        if self.0.adopt_local(from, pool, &open) {
+            self.0.announce_dispatcher(pool);
         }
     }
 
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -19,7 +19,7 @@
         let Some(target) = self.id_of(slot) else {
             return;
         };
-        if !self.file().has(Mechanism::CallHints) {
+        if !self.settings().has(Mechanism::CallHints) {
             return;
         }
         let now_ms = self.now_ms();
@@ -80,7 +80,10 @@
             .call(first, CALL_LIMIT, |client, context| async move {
                 client.hint(context, hint).await
             });
-        if relay.heard_from(first, call.await, "hint").is_some() {
+        if relay
+            .record_peer_result(first, call.await, "hint")
+            .is_some()
+        {
             return;
         }
     }
--- a/components/relay/src/membership/registration.rs
+++ b/components/relay/src/membership/registration.rs
@@ -39,7 +39,7 @@
         tokio::select! {
             () = sleep(pause) => {}
             // What it begins to follow is to be confirmed soon.
-            () = relay.begins_to_follow.notified() => {}
+            () = relay.follow_started.notified() => {}
             () = relay.stopping.cancelled() => {
                 if let Some(HeldLease { lease, .. }) = held {
                     let ended = relay.store.revoke_lease(lease).await;
@@ -51,7 +51,7 @@
             }
         }
         let kept = keep_once(&relay, &mut held).await;
-        relay.store_fails.set(kept.is_err());
+        relay.store_failing.set(kept.is_err());
         pause = match kept {
             Ok(()) => {
                 backoff.reset();
@@ -65,7 +65,7 @@
                 metrics::counter!("shuntpier_store_failures", "of" => "presence").increment(1);
                 if backoff.is_fresh() {
                     // Watches that hang on a dead channel are opened anew.
-                    relay.store_doubted.notify_waiters();
+                    relay.store_suspected.notify_waiters();
                 }
                 let next = backoff.next();
                 match relay.following.get().any() {
@@ -105,7 +105,7 @@
 async fn keep_once(relay: &Relay, held: &mut Option<HeldLease>) -> Result<(), StoreError> {
     let wanted = KeyTerms::among(relay.members.borrow().read_times());
     // A box that has just started finds the key of its former life: two writes less.
-    let former = || relay.former_lease.take().map(HeldLease::of_former_life);
+    let former = || relay.previous_lease.take().map(HeldLease::of_former_life);
     let lasting = held.filter(|held| !held.terms.is_short_of(wanted));
     let mut kept = lasting.or_else(former);
     if let Some(lease) = kept {
@@ -233,7 +233,7 @@
     let own = items.iter().find(is_own).filter(|item| item.lease != 0);
     let says_this = |item: &&Versioned| card(relay, item) == Some(lasting_card(relay));
     if let Some(item) = own.filter(says_this) {
-        relay.former_lease.set(Some(Lease {
+        relay.previous_lease.set(Some(Lease {
             id: item.lease,
             era: item.era,
         }));
--- a/components/relay/src/membership/stand_back.rs
+++ b/components/relay/src/membership/stand_back.rs
@@ -57,7 +57,7 @@
             .borrow()
             .ranked(COUNTING_ROLE, self.is_stopping(), now_ms)
             .len();
-        let allowed = self.stand_backs.borrow_mut().ask(from, ready, now_ms);
+        let allowed = self.load_shedding.borrow_mut().ask(from, ready, now_ms);
         slog::info!(self.log, "asked to stand back"; "box" => from.0, "allowed" => allowed,
             "ready" => ready);
         allowed
@@ -73,7 +73,7 @@
         let Some(first) = ranked.first().copied() else {
             return false;
         };
-        let counts = self.stand_backs.borrow().allows_others(self.id, now_ms);
+        let counts = self.load_shedding.borrow().allows_others(self.id, now_ms);
         // Who allowed others counts itself with them, whoever is first now.
         if counts || first == self.id {
             return self.may_stand_back(self.id);
@@ -84,7 +84,7 @@
             .call(first, CALL_LIMIT, |client, context| async move {
                 client.stand_back(context, from).await
             });
-        self.heard_from(first, call.await, "stand back")
+        self.record_peer_result(first, call.await, "stand back")
             .unwrap_or(false)
     }
 }
--- a/components/relay/src/membership/startup.rs
+++ b/components/relay/src/membership/startup.rs
@@ -18,7 +18,7 @@
 impl Relay {
     /// Waits until the boxes that the settings name were asked, for a short time at the most.
     pub(crate) async fn seeds_asked(&self) {
-        let mut asked = self.seeds_asked.subscribe();
+        let mut asked = self.seeds_queried.subscribe();
         // A seed that is silent is not waited for: the store knows what it would say.
         let _ = timeout(SEEDS_LIMIT, asked.wait_for(|asked| *asked)).await;
     }
@@ -39,7 +39,7 @@
     /// Gives a box that has just started the moment that it needs to learn what it decides by: a refusal would
     /// cost the caller more.
     pub(crate) async fn wait_until_synced(&self) {
-        if !self.file().has(Mechanism::HeldStarts) {
+        if !self.settings().has(Mechanism::HeldStarts) {
             return;
         }
         let synced = async {
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/mover.rs
@@ -109,7 +109,8 @@
             relay: relay.clone(),
             changes: relay.target_changes.subscribe(),
             looked: false,
-            moves: engine.is_some_and(|engine| engine.moves) && relay.file().has(Mechanism::Moves),
+            moves: engine.is_some_and(|engine| engine.moves)
+                && relay.settings().has(Mechanism::Moves),
             steps: None,
             stopping: false,
             source_open: true,
@@ -181,7 +182,9 @@
         };
         let cause = match target.belief {
             Belief::Ready if !targets.is_evacuated(target) || self.stays_evacuated => return,
-            Belief::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
+            Belief::Ready if !self.relay.settings().has(Mechanism::EvacuationMoves) => {
+                return;
+            }
             Belief::Ready => Cause::Evacuated,
             _ => Cause::Leaves,
         };
@@ -215,7 +218,7 @@
     fn drop(&mut self) {
         let job = self.job;
         self.relay
-            .tell_relocated(job.pool, job.serial, job.source_id);
+            .notify_relocated(job.pool, job.serial, job.source_id);
     }
 }
 
@@ -249,7 +252,7 @@
                 Ok(to) => {
                     // The dispatcher has not heard yet that it leaves too.
                     avoid.extend(relay.id_of(to));
-                    relay.tell_relocated(self.pool, self.serial, self.source_id);
+                    relay.notify_relocated(self.pool, self.serial, self.source_id);
                     continue;
                 }
                 Err(RelocateReply::Wait) => continue,
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -99,7 +99,7 @@
 
 /// A box that hears others is told of ends by them, and reads the less often the more there are.
 fn read_times(relay: &Relay) -> u32 {
-    match relay.hears_nobody(relay.now_ms()) {
+    match relay.has_no_peer_contact(relay.now_ms()) {
         true => 1,
         false => relay.members.borrow().read_times() as u32,
     }
@@ -122,7 +122,7 @@
     pub(super) fn keep_record(self: &Rc<Self>, news: &[TargetEnd]) {
         let now_ms = self.now_ms();
         // Boxes that hear no other join what they saw by their records alone.
-        let recorded_min = match self.hears_nobody(now_ms) {
+        let recorded_min = match self.has_no_peer_contact(now_ms) {
             true => 1,
             false => RECORDED_MIN,
         };
--- a/components/relay/src/quarantine/spread.rs
+++ b/components/relay/src/quarantine/spread.rs
@@ -107,7 +107,7 @@
             .call(id, CALL_LIMIT, |client, context| async move {
                 client.ends(context, told).await
             });
-        let answer = self.heard_from(id, call.await, "ends");
+        let answer = self.record_peer_result(id, call.await, "ends");
         if let Some(answer) = &answer {
             self.take_told(answer);
         }
--- a/components/relay/src/quarantine/withhold.rs
+++ b/components/relay/src/quarantine/withhold.rs
@@ -12,7 +12,7 @@
     /// The answer to a request under which too many targets ended; none where it may be sent on. It stands before each send, not
     /// each try: second sends and tries beside the first end targets too.
     pub(crate) fn withheld(&self, incoming: &Incoming) -> Option<LocalReply> {
-        let is_on = self.file().has(Mechanism::Quarantine);
+        let is_on = self.settings().has(Mechanism::Quarantine);
         let withholds = self
             .quarantine
             .borrow()
--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -51,7 +51,7 @@
             .call(coordinator, CALL_LIMIT, |client, context| async move {
                 client.tell(context, message).await
             });
-        self.heard_from(coordinator, call.await, "rate limit");
+        self.record_peer_result(coordinator, call.await, "rate limit");
     }
 
     async fn send_pending_rates(self: &Rc<Self>) {
--- a/components/relay/src/rate_limit/coordinator.rs
+++ b/components/relay/src/rate_limit/coordinator.rs
@@ -155,7 +155,7 @@
         let ask = RateGrantRequest {
             id: grants.last_id,
             account: request.account,
-            weight: self.file().accounts.weight_of(request.account),
+            weight: self.settings().accounts.weight_of(request.account),
             rank: request.rank,
             deadline_ms: now_ms + u64::from(request.wait_ms),
             is_last_try: request.is_last_try,
--- a/components/relay/src/rate_limit/token.rs
+++ b/components/relay/src/rate_limit/token.rs
@@ -121,7 +121,7 @@
             .call(coordinator, limit, |client, context| async move {
                 client.rate_token(context, request).await
             });
-        self.heard_from(coordinator, call.await, "rate token")
+        self.record_peer_result(coordinator, call.await, "rate token")
     }
 
     /// Takes a token from this box's own share of a limit.
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -1,6 +1,6 @@
 //! Takes a change of the settings over while the box serves. What each request loads for itself needs nothing here.
 
-use crate::state::{Relay, held_bounds, resend_bound};
+use crate::state::{Relay, memory_bounds, retry_limit};
 use reload::Snapshot;
 use settings::FleetFile;
 use std::rc::Rc;
@@ -25,18 +25,18 @@
         }
         if before.store.address != now.store.address {
             self.store.set_address(now.store.address);
-            self.store_doubted.notify_waiters();
+            self.store_suspected.notify_waiters();
         }
         if before.limits != now.limits {
-            self.held.set_bounds(held_bounds(&now.limits));
+            self.memory.set_bounds(memory_bounds(&now.limits));
         }
         if before.limits.link_mbps != now.limits.link_mbps {
             let mut members = self.members.borrow_mut();
             members.set_link(now.limits.link_mbps as u32);
         }
         if before.promises != now.promises {
-            let bound = resend_bound(&now.promises);
-            let mut windows = self.resends.borrow_mut();
+            let bound = retry_limit(&now.promises);
+            let mut windows = self.retry_windows.borrow_mut();
             windows
                 .values_mut()
                 .for_each(|window| window.set_limit(bound));
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -1,6 +1,6 @@
 //! Starts and stops a box.
 
-use crate::dispatch::reports::{run_reports, run_trials};
+use crate::dispatch::engine_polls::{run_engine_polls, run_probes};
 use crate::held::Holdings;
 use crate::ingress::accept;
 use crate::ingress::overrun::run_overrun;
@@ -12,7 +12,7 @@
 use crate::quarantine::record::read_records;
 use crate::rate_limit::state::RateLimits;
 use crate::reconfigure::run_settings;
-use crate::state::{Relay, held_bounds};
+use crate::state::{Relay, memory_bounds};
 use crate::watch::election::View;
 use crate::watch::era::run_eras;
 use crate::watch::evacuation::run_evacuation;
@@ -41,14 +41,14 @@
 use tokio_util::sync::CancellationToken;
 
 /// How often what rests is looked over.
-const SWEEP_EACH: Duration = Duration::from_millis(1_000);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long a stopping box still takes channels: until the platform has asked twice whether it is ready,
 /// and what it sent before has come.
-const LAST_CHANNELS: Duration = Duration::from_millis(2_700);
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_700);
 /// Left of the time until the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 /// How long a box with nothing left refuses what is on its way, before it closes.
-const LAST_REFUSALS: Duration = Duration::from_millis(80);
+const FINAL_REFUSAL_TIME: Duration = Duration::from_millis(80);
 
 /// Why a box did not start.
 #[derive(Debug, Error)]
@@ -106,7 +106,7 @@
         log: log.new(slog::o!("box" => identity.name.clone())),
         clock: Clock::new(),
         id,
-        life: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
+        incarnation: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
         data_centre: DataCentreId::from_name(&identity.data_centre),
         store: FleetStore::new(file.store.address),
         peers: FleetClients::new(keys.clone(), traffic.clone()),
@@ -117,39 +117,39 @@
         refused_entries: RefCell::default(),
         target_changes: watch::Sender::new(0),
         channels: RefCell::default(),
-        held: Holdings::new(held_bounds(&file.limits)),
+        memory: Holdings::new(memory_bounds(&file.limits)),
         balance: RefCell::default(),
         calls_ended: Notify::new(),
         rate_limits: RateLimits::default(),
         quarantine: RefCell::default(),
         broken_runs: RefCell::default(),
-        resends: RefCell::default(),
+        retry_windows: RefCell::default(),
         members: RefCell::new(Members::new(id, file.limits.link_mbps as u32)),
         dispatchers: RefCell::new(HashMap::new()),
         open_generations: RefCell::default(),
         account_labels: RefCell::default(),
         completion: RefCell::default(),
-        peer_doubted: Notify::new(),
+        peer_suspected: Notify::new(),
         generations_changed: Notify::new(),
-        store_fails: Cell::new(false),
-        targets_doubted: Cell::new(false),
+        store_failing: Cell::new(false),
+        targets_suspected: Cell::new(false),
         following: Cell::default(),
-        store_back_ms: Cell::new(None),
-        begins_to_follow: Notify::new(),
-        asking: Cell::new(false),
-        heard_asker_ms: Cell::new(0),
-        seeds_asked: watch::Sender::new(false),
-        era_seen: Cell::new(None),
-        former_lease: Cell::new(None),
+        store_recovered_ms: Cell::new(None),
+        follow_started: Notify::new(),
+        polls_all_engines: Cell::new(false),
+        other_poller_seen_ms: Cell::new(0),
+        seeds_queried: watch::Sender::new(false),
+        observed_era: Cell::new(None),
+        previous_lease: Cell::new(None),
         boxes_read: watch::Sender::new(false),
-        lacking: Cell::default(),
-        lists_told: Cell::default(),
+        missing_changes: Cell::default(),
+        list_budget: Cell::default(),
         fetching: watch::Sender::new(false),
-        store_doubted: Notify::new(),
+        store_suspected: Notify::new(),
         in_progress: Cell::new(0),
         requests_ended: Notify::new(),
-        stand_backs: RefCell::default(),
-        stands_back_until_ms: Cell::new(0),
+        load_shedding: RefCell::default(),
+        sheds_load_until_ms: Cell::new(0),
         stopping: CancellationToken::new(),
         stop_until_ms: Cell::new(None),
         closed: CancellationToken::new(),
@@ -173,29 +173,30 @@
     spawn_local(keep_registration(relay.clone()));
     spawn_local(read_records(relay.clone()));
     spawn_local(run_exchanges(relay.clone()));
-    spawn_local(relay.clone().run_telling());
+    spawn_local(relay.clone().run_progress_reports());
     let looked = relay.clone();
     spawn_local(async move { looked.run_dispatchers().await });
-    spawn_local(run_reports(relay.clone()));
-    spawn_local(run_trials(relay.clone()));
+    spawn_local(run_engine_polls(relay.clone()));
+    spawn_local(run_probes(relay.clone()));
     spawn_local(run_settings(relay.clone()));
     spawn_local(run_evacuation(relay.clone()));
     spawn_local(run_sweeps(relay.clone()));
     spawn_local(run_overrun(relay.clone()));
     slog::info!(relay.log, "box started"; "callers" => %relay.identity.callers_address,
-        "peers" => %peers_address, "store" => %relay.file().store.address, "life" => relay.life);
+        "peers" => %peers_address, "store" => %relay.settings().store.address,
+        "life" => relay.incarnation);
     Ok(Running(relay))
 }
 
 async fn run_sweeps(relay: Rc<Relay>) {
     loop {
-        sleep(SWEEP_EACH).await;
+        sleep(SWEEP_INTERVAL).await;
         let now_ms = relay.now_ms();
         relay.channels.borrow_mut().sweep(now_ms);
         relay.sweep_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
-        let (held_bytes, most_bytes) = relay.held.fill();
+        let (held_bytes, most_bytes) = relay.memory.fill();
         metrics::gauge!("shuntpier_held_bytes").set(held_bytes as f64);
         metrics::gauge!("shuntpier_held_bytes_most").set(most_bytes as f64);
         metrics::gauge!("shuntpier_rate_limited_targets")
@@ -224,7 +225,7 @@
     /// when the time until the process is killed is nearly over.
     pub async fn stop(&self) {
         let relay = &self.0;
-        let grace = Duration::from_secs_f64(relay.file().promises.stop_grace_s);
+        let grace = Duration::from_secs_f64(relay.settings().promises.stop_grace_s);
         let time = grace.saturating_sub(STOP_MARGIN);
         let until = Instant::now() + time;
         let until_ms = relay.now_ms() + time.as_millis() as u64;
@@ -234,7 +235,7 @@
         // The others hear at once that this box holds no role any more.
         let told = relay.clone();
         spawn_local(async move { greet(&told).await });
-        sleep(LAST_CHANNELS.min(grace / 2)).await;
+        sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         while relay.in_progress.get() > 0 {
             let ended = relay.requests_ended.notified();
             if timeout_at(until, ended).await.is_err() {
@@ -243,7 +244,7 @@
         }
         // From here on nothing is taken: what comes while the process ends is told so, and not sent on.
         relay.stop_until_ms.set(Some(relay.now_ms()));
-        sleep(LAST_REFUSALS).await;
+        sleep(FINAL_REFUSAL_TIME).await;
         slog::info!(relay.log, "stopped"; "in_progress" => relay.in_progress.get());
         relay.closed.cancel();
         tokio::task::yield_now().await;
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -57,7 +57,7 @@
     pub(crate) clock: Clock,
     pub(crate) id: BoxId,
     /// Drawn at each start of the process.
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) data_centre: DataCentreId,
     pub(crate) store: FleetStore,
     pub(crate) peers: FleetClients,
@@ -72,7 +72,7 @@
     pub(crate) target_changes: watch::Sender<u64>,
     pub(crate) channels: RefCell<Channels>,
     /// What is kept for callers and targets that read slowly.
-    pub(crate) held: Rc<Holdings>,
+    pub(crate) memory: Rc<Holdings>,
     /// What calls showed of plain targets.
     pub(crate) balance: RefCell<CallBalance>,
     /// A request at a target ended: a call that waits may find room.
@@ -83,7 +83,7 @@
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Runs that broke off lately.
     pub(crate) broken_runs: RefCell<BrokenRuns>,
-    pub(crate) resends: RefCell<HashMap<Box<str>, RetryWindow>>,
+    pub(crate) retry_windows: RefCell<HashMap<Box<str>, RetryWindow>>,
     pub(crate) members: RefCell<Members>,
     pub(crate) dispatchers: RefCell<HashMap<PoolId, Dispatcher>>,
     pub(crate) open_generations: RefCell<OpenGenerations>,
@@ -92,45 +92,45 @@
     /// How generations came to their ends here.
     pub(crate) completion: RefCell<CompletionEstimator>,
     /// Notified when a peer did not answer: who dispatches a pool may have changed.
-    pub(crate) peer_doubted: Notify,
+    pub(crate) peer_suspected: Notify,
     /// Something of [`Relay::open_generations`] is to be told to a dispatcher.
     pub(crate) generations_changed: Notify,
     /// This box's last call for its own key failed.
-    pub(crate) store_fails: Cell<bool>,
+    pub(crate) store_failing: Cell<bool>,
     /// Following targets failed, and has not succeeded since.
-    pub(crate) targets_doubted: Cell<bool>,
+    pub(crate) targets_suspected: Cell<bool>,
     /// Views of the store that this box follows now.
     pub(crate) following: Cell<Followed>,
     /// When the store last answered again after trouble.
-    pub(crate) store_back_ms: Cell<Option<u64>>,
+    pub(crate) store_recovered_ms: Cell<Option<u64>>,
     /// This box begins to follow a view.
-    pub(crate) begins_to_follow: Notify,
+    pub(crate) follow_started: Notify,
     /// This box asks all engines whether they leave, and when it last heard another one that does.
-    pub(crate) asking: Cell<bool>,
-    pub(crate) heard_asker_ms: Cell<u64>,
+    pub(crate) polls_all_engines: Cell<bool>,
+    pub(crate) other_poller_seen_ms: Cell<u64>,
     /// The boxes that the settings name were asked what they know, or are silent.
-    pub(crate) seeds_asked: watch::Sender<bool>,
+    pub(crate) seeds_queried: watch::Sender<bool>,
     /// The highest era of the store that this box has acted upon; none before it heard of any.
-    pub(crate) era_seen: Cell<Option<u32>>,
+    pub(crate) observed_era: Cell<Option<u32>>,
     /// The lease of the key that a former life of this box has left.
-    pub(crate) former_lease: Cell<Option<Lease>>,
+    pub(crate) previous_lease: Cell<Option<Lease>>,
     /// The keys of all boxes were read since this box started.
     pub(crate) boxes_read: watch::Sender<bool>,
     /// Changes of targets that other boxes have and this one lacks.
-    pub(crate) lacking: Cell<Lacking>,
+    pub(crate) missing_changes: Cell<Lacking>,
     /// Whole lists of targets that this box has handed out.
-    pub(crate) lists_told: Cell<ListBudget>,
+    pub(crate) list_budget: Cell<ListBudget>,
     /// What another box knows more is being asked for.
     pub(crate) fetching: watch::Sender<bool>,
     /// The store failed: its open watches may hang.
-    pub(crate) store_doubted: Notify,
+    pub(crate) store_suspected: Notify,
     /// Requests that are being read or answered.
     pub(crate) in_progress: Cell<usize>,
     pub(crate) requests_ended: Notify,
     /// Which boxes this one allows to stand back.
-    pub(crate) stand_backs: RefCell<StandBacks>,
+    pub(crate) load_shedding: RefCell<StandBacks>,
     /// Until when this box stands back.
-    pub(crate) stands_back_until_ms: Cell<u64>,
+    pub(crate) sheds_load_until_ms: Cell<u64>,
     /// A planned stop has begun.
     pub(crate) stopping: CancellationToken,
     /// When a planned stop must be over.
@@ -150,7 +150,7 @@
 }
 
 /// What the users were promised of second sends.
-pub(crate) fn resend_bound(promises: &FleetPromises) -> RetryLimit {
+pub(crate) fn retry_limit(promises: &FleetPromises) -> RetryLimit {
     RetryLimit {
         share: promises.resend_share,
         extra: promises.resend_spare,
@@ -159,7 +159,7 @@
 }
 
 /// What the box may hold for others.
-pub(crate) fn held_bounds(limits: &FleetLimits) -> Bounds {
+pub(crate) fn memory_bounds(limits: &FleetLimits) -> Bounds {
     Bounds {
         box_bytes: limits.held_bytes(),
         account_bytes: limits.account_held_bytes(),
@@ -175,7 +175,7 @@
 }
 
 impl Relay {
-    pub(crate) fn begin(self: &Rc<Self>) -> InProgress {
+    pub(crate) fn track_request(self: &Rc<Self>) -> InProgress {
         self.in_progress.set(self.in_progress.get() + 1);
         InProgress(self.clone())
     }
@@ -207,12 +207,12 @@
     pub(crate) fn card(&self) -> FleetCard {
         FleetCard {
             id: self.id,
-            life: self.life,
+            life: self.incarnation,
             name: self.identity.name.as_str().into(),
             address: self.identity.peers_address,
             data_centre: self.identity.data_centre.as_str().into(),
             leaving: self.is_stopping(),
-            link_mbps: self.file().limits.link_mbps as u32,
+            link_mbps: self.settings().limits.link_mbps as u32,
         }
     }
 
@@ -258,7 +258,7 @@
             View::Declarations => self.declared_confirmed_ms.set(Some(at_ms)),
             View::Targets => {
                 self.targets.borrow_mut().confirmed_ms = Some(at_ms);
-                self.targets_doubted.set(false);
+                self.targets_suspected.set(false);
             }
         }
         if before_ms.is_none() {
@@ -268,7 +268,7 @@
     }
 
     /// Puts declarations into force, where they are newer than those in force. Says whether they are.
-    pub(crate) fn declare(&self, text: &[u8], source: &'static str) -> bool {
+    pub(crate) fn apply_declarations(&self, text: &[u8], source: &'static str) -> bool {
         let table = match platform::decode_routing_table(text) {
             Ok(table) => table,
             Err(error) => {
@@ -299,14 +299,14 @@
     }
 
     /// The settings in force.
-    pub(crate) fn file(&self) -> Guard<Arc<Snapshot<FleetFile>>> {
+    pub(crate) fn settings(&self) -> Guard<Arc<Snapshot<FleetFile>>> {
         self.settings.load()
     }
 
     /// An answer of this box's own, as its caller is told it.
-    pub(crate) fn as_told(&self, own: LocalReply) -> LocalReply {
+    pub(crate) fn caller_reply(&self, own: LocalReply) -> LocalReply {
         match own {
-            LocalReply::NotRun { why, .. } if !self.file().has(Mechanism::TimesToComeBack) => {
+            LocalReply::NotRun { why, .. } if !self.settings().has(Mechanism::TimesToComeBack) => {
                 LocalReply::NotRun {
                     why,
                     retry_after_ms: RETRY_AFTER_MS,
@@ -317,14 +317,14 @@
     }
 
     /// Second sends to a service, counted over the window.
-    pub(crate) fn resend_window<T>(
+    pub(crate) fn with_retry_window<T>(
         &self,
         service: &str,
         act: impl FnOnce(&mut RetryWindow, u64) -> T,
     ) -> T {
-        let mut windows = self.resends.borrow_mut();
+        let mut windows = self.retry_windows.borrow_mut();
         if !windows.contains_key(service) {
-            let bound = resend_bound(&self.file().promises);
+            let bound = retry_limit(&self.settings().promises);
             windows.insert(service.into(), RetryWindow::new(bound));
         }
         let now_ms = self.now_ms();
@@ -335,12 +335,13 @@
     }
 
     /// Takes one second send to a service from the budget.
-    pub(crate) fn take_resend(&self, service: &str) -> bool {
-        let boxes = match self.file().has(Mechanism::BudgetShares) {
+    pub(crate) fn try_take_retry(&self, service: &str) -> bool {
+        let boxes = match self.settings().has(Mechanism::BudgetShares) {
             true => self.members.borrow().budget_share(),
             false => 1,
         };
-        let taken = self.resend_window(service, |window, now_ms| window.try_take(boxes, now_ms));
+        let taken =
+            self.with_retry_window(service, |window, now_ms| window.try_take(boxes, now_ms));
         let name = match taken {
             true => "shuntpier_resends",
             false => "shuntpier_resends_denied",
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -7,7 +7,7 @@
 use operators::{EvacuationView, FleetTargetView, FleetView, TargetCallsView, TargetPaceView};
 use policy::TargetStats;
 
-fn state_of(targets: &TargetBook, target: &Target) -> &'static str {
+fn target_state(targets: &TargetBook, target: &Target) -> &'static str {
     match target.belief {
         Belief::Ready if targets.is_evacuated(target) => "evacuated",
         Belief::Ready => "ready",
@@ -24,13 +24,13 @@
             ready: self.is_ready(),
             stopping: self.is_stopping(),
             declarations: self.declared().map_or(0, |held| held.table.version),
-            store_era: self.era_seen.get(),
+            store_era: self.observed_era.get(),
             boxes: self.members.borrow().others().len() + 1,
             follows_store: self.following.get().any(),
             generations_open: self.open_generations.borrow().count(),
             requests_open: self.in_progress.get(),
-            held_bytes: self.held.fill().0,
-            held_bytes_most: self.held.fill().1,
+            held_bytes: self.memory.fill().0,
+            held_bytes_most: self.memory.fill().1,
             withheld: self.withheld_views(),
             evacuations: self.evacuation_views(),
             targets: self.target_views(),
@@ -77,7 +77,7 @@
             service: target.entry.service.to_string(),
             data_centre: target.entry.data_centre.to_string(),
             address: target.entry.address.to_string(),
-            state: state_of(&targets, target).into(),
+            state: target_state(&targets, target).into(),
             cold: now_ms < target.cold_until_ms,
             own_open: target.open,
             own_open_bytes: target.open_bytes,
--- a/components/relay/src/watch/election.rs
+++ b/components/relay/src/watch/election.rs
@@ -154,7 +154,7 @@
 
 /// Whether another box asks all engines whether they leave.
 pub(crate) fn another_asks(relay: &Relay) -> bool {
-    let heard_ms = relay.heard_asker_ms.get();
+    let heard_ms = relay.other_poller_seen_ms.get();
     heard_ms > 0 && heard_ms + ASKER_QUIET_MS > relay.now_ms()
 }
 
@@ -216,7 +216,7 @@
 impl Following {
     pub(crate) fn begin(relay: &Rc<Relay>, view: View) -> Self {
         relay.note_following(view, true);
-        relay.begins_to_follow.notify_one();
+        relay.follow_started.notify_one();
         Self {
             relay: relay.clone(),
             view,
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -83,13 +83,13 @@
 
     /// Notes the era of something that was said.
     pub(crate) fn see_era(self: &Rc<Self>, era: u32, source: EraSource) {
-        let before = self.era_seen.get();
+        let before = self.observed_era.get();
         // Where no era is known to a peer, it tells 0.
         let is_told = source == EraSource::Store || era > 0;
         if !is_told || before.is_some_and(|before| era <= before) {
             return;
         }
-        self.era_seen.set(Some(era));
+        self.observed_era.set(Some(era));
         self.store.observe_era(era);
         metrics::gauge!("shuntpier_store_era").set(f64::from(era));
         if let Some(before) = before {
@@ -117,7 +117,7 @@
             "kept_withheld_requests" => withheld);
         metrics::counter!("shuntpier_store_era_rises").increment(1);
         // Open watches are on a history that is no more.
-        self.store_doubted.notify_waiters();
+        self.store_suspected.notify_waiters();
         tokio::task::spawn_local(settle(self.clone(), era, settle_ms));
         tokio::task::spawn_local(write_again(self.clone()));
     }
@@ -126,17 +126,17 @@
 /// Has this box read anew what it follows once the store has settled.
 async fn settle(relay: Rc<Relay>, era: u32, settle_ms: u64) {
     sleep(Duration::from_millis(settle_ms)).await;
-    if relay.era_seen.get() != Some(era) {
+    if relay.observed_era.get() != Some(era) {
         return;
     }
     slog::info!(relay.log, "store era settled"; "era" => era);
-    relay.store_doubted.notify_waiters();
+    relay.store_suspected.notify_waiters();
 }
 
 /// Writes this box's key and the records that it knows again.
 async fn write_again(relay: Rc<Relay>) {
     sleep(WRITE_AGAIN_WITHIN.mul_f64(rand::random())).await;
-    relay.begins_to_follow.notify_one();
+    relay.follow_started.notify_one();
     relay.keep_records_again();
 }
 
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -56,12 +56,12 @@
         }
         let ended = tokio::select! {
             ended = follow_once(&relay, view, &mut backoff) => ended,
-            () = relay.store_doubted.notified() =>
+            () = relay.store_suspected.notified() =>
                 Err(StoreError::NotDone("the store is in doubt".into())),
         };
         if let Err(error) = ended {
             if view == View::Targets {
-                relay.targets_doubted.set(true);
+                relay.targets_suspected.set(true);
             }
             metrics::counter!("shuntpier_store_failures", "of" => view.name()).increment(1);
             slog::info!(relay.log, "store not followed"; "view" => view.name(), "error" => %error);
@@ -199,7 +199,7 @@
 pub(crate) async fn run_asking(relay: Rc<Relay>) {
     loop {
         sleep(CONFIRM_EACH).await;
-        if relay.asking.get() && !relay.following.get().any() {
+        if relay.polls_all_engines.get() && !relay.following.get().any() {
             tell_current(&relay);
         }
     }
@@ -237,7 +237,7 @@
         View::Declarations => {
             read_evacuations(relay, items, version);
             let config = items.iter().find(|item| item.key == CONFIG_KEY);
-            match config.is_some_and(|item| relay.declare(&item.value, "store")) {
+            match config.is_some_and(|item| relay.apply_declarations(&item.value, "store")) {
                 true => Taken::Table,
                 false => Taken::Nothing,
             }
@@ -252,13 +252,13 @@
     let confirmed_ms = relay.confirmed_ms(View::Targets);
     let was_away = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + AWAY_MS < now_ms);
     if was_away {
-        relay.store_back_ms.set(Some(now_ms));
+        relay.store_recovered_ms.set(Some(now_ms));
     }
 }
 
 /// Until when entries that are missing may still come back; none where the store had no trouble lately.
 fn missing_until_ms(relay: &Relay) -> Option<u64> {
-    let until_ms = relay.store_back_ms.get()? + MISSING_MS;
+    let until_ms = relay.store_recovered_ms.get()? + MISSING_MS;
     (relay.now_ms() < until_ms).then_some(until_ms)
 }
 
@@ -303,7 +303,7 @@
             continue;
         }
         if let (CONFIG_KEY, Some(text)) = (event.key.as_str(), event.value)
-            && relay.declare(&text, "store")
+            && relay.apply_declarations(&text, "store")
         {
             spread_table(relay);
         }
