--- a/components/relay/src/dispatch/completion_tests.rs
+++ b/components/relay/src/dispatch/completion_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn seen(ratio: f64) -> CompletionSample {
+fn sample(ratio: f64) -> CompletionSample {
     CompletionSample {
         guess_tokens: Some(100),
         tokens: (100.0 * ratio) as u32,
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn a_guess_that_fits_twice_over_is_likely_to_end_and_one_that_does_not_fit_is_not() {
-    let outlook = CompletionEstimator::default();
-    assert!(outlook.completion_probability(Some(100), 10_000, 6_000) > 0.8);
-    assert!(outlook.completion_probability(Some(2_000), 10_000, 6_000) < 0.2);
+fn guess_far_within_the_time_is_likely_to_finish_and_one_beyond_it_is_not() {
+    let estimator = CompletionEstimator::default();
+    assert!(estimator.completion_probability(Some(100), 10_000, 6_000) > 0.8);
+    assert!(estimator.completion_probability(Some(2_000), 10_000, 6_000) < 0.2);
 }
 
 #[test]
-fn the_longest_answer_that_fits_is_sure_to_end() {
+fn answer_finishes_for_certain_if_its_maximum_length_fits() {
     assert_eq!(
         CompletionEstimator::default().completion_probability(None, 100, 6_000),
         1.0
@@ -29,31 +29,34 @@
 }
 
 #[test]
-fn learns_from_answers_that_were_all_longer_than_guessed() {
-    let mut outlook = CompletionEstimator::default();
+fn probability_follows_answers_longer_than_guessed() {
+    let mut estimator = CompletionEstimator::default();
     for _ in 0..REMEMBERED_MAX {
-        outlook.record(seen(3.0));
+        estimator.record(sample(3.0));
     }
-    // 500 ms and 10 ms a token leave room for 250 tokens.
+    // 500 ms to the first token and 10 ms per token allow 250 tokens.
     assert_eq!(
-        outlook.completion_probability(Some(100), 10_000, 3_000),
+        estimator.completion_probability(Some(100), 10_000, 3_000),
         0.0
     );
-    assert_eq!(outlook.completion_probability(Some(50), 10_000, 3_000), 1.0);
+    assert_eq!(
+        estimator.completion_probability(Some(50), 10_000, 3_000),
+        1.0
+    );
 }
 
 #[test]
-fn a_generation_waits_for_as_long_as_its_first_token_may_still_be_in_time() {
-    let mut outlook = CompletionEstimator::default();
-    assert_eq!(outlook.max_wait_ms(1_800), 1_300);
+fn max_wait_leaves_time_for_the_first_token() {
+    let mut estimator = CompletionEstimator::default();
+    assert_eq!(estimator.max_wait_ms(1_800), 1_300);
     for _ in 0..200 {
-        outlook.record(CompletionSample {
+        estimator.record(CompletionSample {
             first_token_ms: 900,
-            ..seen(1.0)
+            ..sample(1.0)
         });
     }
-    let waits_ms = outlook.max_wait_ms(1_800);
+    let waits_ms = estimator.max_wait_ms(1_800);
     assert!((895..=905).contains(&waits_ms), "{waits_ms}");
-    // Engines are slower than the goal: what is not begun nearly at once is refused.
-    assert_eq!(outlook.max_wait_ms(600), 60);
+    // Engines are slower than the goal, so that only the minimum wait remains.
+    assert_eq!(estimator.max_wait_ms(600), 60);
 }
--- a/components/relay/src/dispatch/dispatcher.rs
+++ b/components/relay/src/dispatch/dispatcher.rs
@@ -1,6 +1,5 @@
-//! The dispatcher of a pool of engines, on the box that holds the role: [`policy::Pool`] with the requests
-//! that wait for its word. It is soft state; a box that takes the role over is told by the others what
-//! runs where.
+//! The dispatcher of a pool of engines, on the box that has the role: a [`policy::Pool`] and the requests that wait
+//! for its verdict. It is soft state: after a takeover the other boxes report what runs where.
 
 use crate::state::Relay;
 use peers::{AcquireRequest, AdoptedStream, OpenStreams, PermitReply, UpdateReply, UpdateRequest};
@@ -18,50 +17,50 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How often the requests that wait are looked over.
+/// How often a waiting call makes the pool schedule again.
 const DECISION_INTERVAL: Duration = Duration::from_millis(20);
-/// Prompt tokens that one engine may have waiting for their first token. A longer row holds the tokens of
-/// all that runs there up.
+/// Maximum prompt tokens in the prefill queue of one engine. A longer queue delays the tokens of all streams that run
+/// there.
 const PREFILL_TOKENS_MAX: u32 = 7_000;
-/// Standard deviations of the forecast of memory that are kept free. Boxes hear of no preemption, so that nothing raises a
-/// margin that decays.
+/// Memory that is kept free, in standard deviations of the memory forecast. Constant, as boxes are not notified of
+/// preemptions, so that nothing would raise a margin that decays.
 const MARGIN_DEVIATIONS: f64 = 1.25;
-/// What an engine near the caller's box is preferred by, in tokens of memory: bytes between data centres
-/// are paid for.
+/// Preference for an engine in the data centre of the caller's box, in tokens of memory, as traffic between data centres
+/// is paid for.
 const NEAR_TOKENS: u32 = 1_500;
-/// How often engines are looked over of which something holds for a time.
+/// How often engines in a temporary state (cold, on probation, ejected) are checked.
 const SYNC_INTERVAL: Duration = Duration::from_millis(500);
-/// What is told to come back to where nothing is known of the wait.
+/// Retry delay of a refusal if the wait is unknown.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// A pool, and who waits for its word.
+/// A pool, and the requests that wait for its verdict.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     pub(crate) pool: Pool,
     pub(super) waiting: HashMap<PermitId, WaitingRequest>,
-    /// None where copies do not go one after another.
+    /// Limits transfers to one at a time per link; none if the mechanism is off.
     pub(super) transfer_slots: Option<TransferSlots>,
     /// Nothing is granted before this time.
     pub(super) grants_from_ms: u64,
-    /// When boxes were last told that this one dispatches.
+    /// When this box last announced itself as the dispatcher.
     pub(super) announced_ms: u64,
     /// When this box began to dispatch the pool.
     pub(super) began_ms: u64,
     log: slog::Logger,
 }
 
-/// Who waits for a pool's word.
+/// A request that waits for a verdict.
 #[derive(Debug)]
 pub(super) struct WaitingRequest {
     pub(super) verdict_sender: oneshot::Sender<Verdict>,
     rank: u8,
-    /// When its caller came, on the clock of this box.
+    /// When its caller arrived, on the clock of this box.
     arrived_ms: u64,
 }
 
 fn pool_settings(file: &FleetFile) -> PoolSettings {
     let on = |mechanism, value| if file.has(mechanism) { value } else { 0 };
-    let usual = PoolSettings::default();
+    let defaults = PoolSettings::default();
     let margin = |deviations| match file.has(Mechanism::Margin) {
         true => deviations,
         false => 0.0,
@@ -81,17 +80,17 @@
             false => u32::MAX,
         },
         near_tokens: on(Mechanism::NearEngines, NEAR_TOKENS),
-        near_copy_tokens: on(Mechanism::NearCopies, usual.near_copy_tokens),
+        near_copy_tokens: on(Mechanism::NearCopies, defaults.near_copy_tokens),
         learns_pace: file.has(Mechanism::Pace),
-        long_pause_ms: on(Mechanism::PausePlacement, usual.long_pause_ms),
+        long_pause_ms: on(Mechanism::PausePlacement, defaults.long_pause_ms),
         forecast: file.has(Mechanism::Forecast),
         learns_lengths: file.has(Mechanism::Lengths),
         fair: file.has(Mechanism::Fairness),
-        margin_max: margin(usual.margin_max),
+        margin_max: margin(defaults.margin_max),
         margin_initial: margin(MARGIN_DEVIATIONS),
         margin_min: margin(MARGIN_DEVIATIONS),
         first_report_ms: 0,
-        ..usual
+        ..defaults
     }
 }
 
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Takes over which mechanisms are on.
+    /// Applies changed settings.
     pub(crate) fn reconfigure(&mut self, file: &FleetFile) {
         self.pool.set_settings(pool_settings(file));
         self.pool.set_caps(file.accounts.caps().collect());
@@ -137,7 +136,7 @@
                     "waiting" => self.waiting.len());
             }
             if waiting.verdict_sender.send(verdict).is_err() {
-                // Whoever asked has left: the permit is free again.
+                // The waiting call is gone, so that the permit is released.
                 self.pool.release(permit, 0, StreamEnd::Censored);
             }
         }
@@ -170,7 +169,7 @@
         let mut dispatchers = self.dispatchers.borrow_mut();
         match dispatchers.get_mut(&pool) {
             Some(dispatcher) => act(dispatcher, now_ms),
-            None => unreachable!("the dispatcher was just made"),
+            None => unreachable!("the dispatcher was just inserted"),
         }
     }
 
@@ -207,32 +206,32 @@
         }
     }
 
-    /// Decides on a request for a permit that was asked at `asked_ms`, waiting up to `wait_ms`. Its caller's place in line
-    /// follows from that time: read later, under load, it would be another for each time that it is asked.
+    /// Decides on a request for a permit that was received at `received_ms`, waiting for up to `wait_ms`. The place in the
+    /// queue is computed from the time of receipt. With a clock read later under load, the place would shift with each retry.
     pub(crate) async fn acquire_local(
         &self,
         request: AcquireRequest,
-        asked_ms: u64,
+        received_ms: u64,
         wait_ms: u32,
     ) -> PermitReply {
-        let demand = self.demand(&request, asked_ms);
-        let (asker, mut word) = oneshot::channel();
-        let early = self.with_dispatcher(request.pool, |dispatcher, now_ms| {
+        let demand = self.demand(&request, received_ms);
+        let (verdict_sender, mut verdict_receiver) = oneshot::channel();
+        let immediate = self.with_dispatcher(request.pool, |dispatcher, now_ms| {
             if let Some(target) = dispatcher.pool.target_of(request.permit) {
                 return Some(granted(target));
             }
             let waiting = WaitingRequest {
-                verdict_sender: asker,
+                verdict_sender,
                 rank: demand.rank,
                 arrived_ms: demand.arrived_ms,
             };
             dispatcher.waiting.insert(request.permit, waiting);
-            // It is asked with a time to wait once a dispatcher let it wait.
-            let taken = match wait_ms > 0 {
+            // A call with a wait time follows an earlier one that was answered with `Waiting`.
+            let outcome = match wait_ms > 0 {
                 true => dispatcher.pool.resubmit(demand.clone(), now_ms),
                 false => dispatcher.pool.submit(demand.clone(), now_ms),
             };
-            match taken {
+            match outcome {
                 SubmitOutcome::Refused(refusal) => {
                     dispatcher.waiting.remove(&request.permit);
                     Some(dispatcher.refusal_reply(refusal, &demand))
@@ -243,26 +242,26 @@
                 }
             }
         });
-        if let Some(reply) = early {
+        if let Some(reply) = immediate {
             return reply;
         }
         let until = Instant::now() + Duration::from_millis(u64::from(wait_ms));
         loop {
-            if let Ok(verdict) = word.try_recv() {
+            if let Ok(verdict) = verdict_receiver.try_recv() {
                 return self.verdict_reply(verdict, &demand, request.pool);
             }
             if Instant::now() >= until {
                 return PermitReply::Waiting { place: 0 };
             }
-            let look = until.min(Instant::now() + DECISION_INTERVAL);
-            if let Ok(Ok(verdict)) = timeout_at(look, &mut word).await {
+            let next_decision = until.min(Instant::now() + DECISION_INTERVAL);
+            if let Ok(Ok(verdict)) = timeout_at(next_decision, &mut verdict_receiver).await {
                 return self.verdict_reply(verdict, &demand, request.pool);
             }
             self.with_dispatcher(request.pool, Dispatcher::decide);
         }
     }
 
-    /// Takes a request for a permit back, or releases the permit.
+    /// Withdraws a request for a permit, or releases the permit.
     pub(crate) fn withdraw_local(&self, pool: PoolId, permit: PermitId) {
         self.with_dispatcher(pool, |dispatcher, now_ms| {
             dispatcher.waiting.remove(&permit);
@@ -271,7 +270,7 @@
         });
     }
 
-    /// Takes progress and ends in.
+    /// Applies a report of progress and ends. The reply asks for a resync if the report does not match what is known here.
     pub(crate) fn update_local(&self, request: &UpdateRequest) -> UpdateReply {
         let permit = |serial| PermitId {
             entry: request.from,
@@ -311,8 +310,8 @@
         })
     }
 
-    /// Takes over the generations of a box. True where it may have had another dispatcher, and the others are to hear that this
-    /// one is back.
+    /// Adopts the open generations of a box. Returns true if that box may have used another dispatcher, so that this box has
+    /// to announce itself again.
     pub(crate) fn adopt_local(&self, from: BoxId, pool: PoolId, open: &OpenStreams) -> bool {
         let now_ms = self.now_ms();
         let used = self.recent_usage(&open.used);
@@ -323,8 +322,8 @@
             .collect();
         self.with_dispatcher(pool, |dispatcher, now_ms| {
             let kept: HashSet<PermitId> = demands.iter().map(|(d, _)| d.permit).collect();
-            let was_away = dispatcher.pool.adopt_usage(from, &used, now_ms);
-            let says_again = was_away && dispatcher.record_other_dispatcher(now_ms);
+            let had_other_dispatcher = dispatcher.pool.adopt_usage(from, &used, now_ms);
+            let must_announce = had_other_dispatcher && dispatcher.record_other_dispatcher(now_ms);
             dispatcher.pool.reconcile_permits(from, &kept, now_ms);
             for (demand, stream) in demands {
                 let adopted = RunningStream {
@@ -335,22 +334,22 @@
                 dispatcher.pool.adopt(adopted, now_ms);
             }
             dispatcher.decide(now_ms);
-            says_again
+            must_announce
         })
     }
 
-    /// Looks over engines that are cold, on trial or passed over no more, and over requests that wait.
+    /// Updates engines whose temporary state (cold, on probation, ejected) has ended, and exports gauges.
     pub(crate) async fn run_dispatchers(&self) {
         loop {
             sleep(SYNC_INTERVAL).await;
-            let passing = self.targets.borrow_mut().take_passing(self.now_ms());
-            self.sync_engines(&passing);
+            let changed = self.targets.borrow_mut().take_passing(self.now_ms());
+            self.sync_engines(&changed);
             self.export_share_gauges();
             self.export_forecast_gauges();
         }
     }
 
-    /// Shows by how much forecasts are corrected, ten ranks at the most, and how many engines decisions looked at.
+    /// Exports the forecast corrections, of at most ten ranks, and the number of engines that decisions checked.
     fn export_forecast_gauges(&self) {
         for dispatcher in self.dispatchers.borrow().values() {
             metrics::gauge!("shuntpier_engines_looked_at")
@@ -363,7 +362,7 @@
     }
 }
 
-/// A refusal where no dispatcher's word is known.
+/// Returns a refusal made without a dispatcher's verdict.
 pub(crate) fn refusal(reason: RefusalReason) -> Refusal {
     Refusal {
         reason,
--- a/components/relay/src/dispatch/engine_polls.rs
+++ b/components/relay/src/dispatch/engine_polls.rs
@@ -1,5 +1,5 @@
-//! While the store cannot be read, engines are asked themselves whether they leave. In quiet times nobody
-//! asks: all load on engines is known without it, and each question is paid for.
+//! Polls engines directly for a notice that they leave while the store cannot be read. Otherwise no box polls: the load
+//! on engines is known without it, and each poll has a cost.
 
 use crate::dispatch::poll_round::{POLLED_MAX, PollRound};
 use crate::forwarding::control::control;
@@ -13,42 +13,42 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often engines are asked. Notice of an engine's end may be as short as 1.5 s.
+/// Interval of polls. The notice that an engine gives before it ends may be as short as 1.5 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// How often an engine on trial is asked.
+/// Interval of probes to an engine on probation.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// A view of targets that was not confirmed for this long is no base for leaving engines alone.
+/// Age after which an unconfirmed view of targets is stale, so that engines are polled.
 const STALE_VIEW_MS: u64 = 1_200;
-/// The same where this box's own calls to the store fail: the box that follows targets says every 0.4 s that
-/// nothing changed.
+/// The same if this box's own calls to the store fail. The box that follows targets confirms every 0.4 s that nothing has
+/// changed.
 const STALE_VIEW_STORE_FAILING_MS: u64 = 700;
 
-/// Which engines a box asks.
+/// Which engines a box polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollScope {
     None,
-    /// Those that run something of its own: no other box is heard that asks all.
+    /// Only engines with open requests of this box.
     InUse,
     All,
 }
 
-/// Polls engines while the view of targets is not confirmed: all of them where it is this box's turn to follow
-/// the store, and those that run something of its own where no box is heard that asks all.
+/// Polls engines while the view of targets is stale: all of them if this box is elected to follow the store, and those with
+/// its own open requests unless another box is known to poll all.
 pub(crate) async fn run_engine_polls(relay: Rc<Relay>) {
-    let mut asks = PollScope::None;
+    let mut scope = PollScope::None;
     let mut round = PollRound::default();
     loop {
         sleep(POLL_INTERVAL).await;
-        let now = poll_scope(&relay);
-        let before = std::mem::replace(&mut asks, now);
-        if before != asks {
-            slog::info!(relay.log, "engines asked themselves"; "asked" => ?asks,
+        let current = poll_scope(&relay);
+        let previous = std::mem::replace(&mut scope, current);
+        if previous != scope {
+            slog::info!(relay.log, "polling of engines changed"; "scope" => ?scope,
                 "confirmed_ms" => relay.targets.borrow().confirmed_ms,
                 "now_ms" => relay.now_ms());
         }
-        relay.polls_all_engines.set(asks == PollScope::All);
-        if asks != PollScope::None {
-            for (slot, address) in engines_to_poll(&relay, asks == PollScope::All, &mut round) {
+        relay.polls_all_engines.set(scope == PollScope::All);
+        if scope != PollScope::None {
+            for (slot, address) in engines_to_poll(&relay, scope == PollScope::All, &mut round) {
                 tokio::task::spawn_local(poll_engine(relay.clone(), slot, address));
             }
         }
@@ -58,7 +58,7 @@
 fn poll_scope(relay: &Relay) -> PollScope {
     match is_target_view_stale(relay) {
         false => PollScope::None,
-        // The first in rank asks whatever others do, so that two never wait for each other.
+        // The first in rank polls in any case, so that two boxes never wait for each other.
         true if rank(relay) == Some(0) => PollScope::All,
         true if another_asks(relay) && fits_in_one_round(relay) => PollScope::None,
         true if is_elected(relay) && !another_asks(relay) => PollScope::All,
@@ -66,40 +66,44 @@
     }
 }
 
-/// Whether one box asks all engines at each look.
+/// Returns true if one box can poll all engines in each round.
 fn fits_in_one_round(relay: &Relay) -> bool {
-    let Some(held) = relay.declared() else {
+    let Some(declared) = relay.declared() else {
         return true;
     };
     let targets = relay.targets.borrow();
-    let services = held.table.services.iter().filter(|s| s.engine.is_some());
+    let services = declared
+        .table
+        .services
+        .iter()
+        .filter(|s| s.engine.is_some());
     let engines = services.map(|service| targets.count_of_service(&service.name));
     engines.sum::<usize>() <= POLLED_MAX
 }
 
-/// Polls the engines that are on trial here, for as long as the box lives.
+/// Probes the engines that are on probation here until the process ends.
 pub(crate) async fn run_probes(relay: Rc<Relay>) {
     loop {
         sleep(PROBE_INTERVAL).await;
         let now_ms = relay.now_ms();
-        let open = {
+        let due = {
             let mut targets = relay.targets.borrow_mut();
-            let open = targets.open_trials(now_ms).into_iter();
+            let due = targets.open_trials(now_ms).into_iter();
             let address = |slot| Some((slot, targets.get(slot)?.entry.address));
-            open.filter_map(address).collect::<Vec<_>>()
+            due.filter_map(address).collect::<Vec<_>>()
         };
-        for (slot, address) in open {
+        for (slot, address) in due {
             tokio::task::spawn_local(poll_engine(relay.clone(), slot, address));
         }
     }
 }
 
-/// Whether a target may leave without this box hearing of it.
+/// Returns true if a target may leave without this box being notified.
 fn is_target_view_stale(relay: &Relay) -> bool {
     if !relay.knows(View::Targets) {
         return false;
     }
-    // A list that was read at the start and that nobody has confirmed since is as old as the box.
+    // A list that was read at the start and never confirmed is as old as the process.
     let confirmed_ms = relay.confirmed_ms(View::Targets).unwrap_or_default();
     let age_ms = relay.now_ms().saturating_sub(confirmed_ms);
     let store_fails = relay.store_failing.get() && age_ms > STALE_VIEW_STORE_FAILING_MS;
@@ -111,11 +115,15 @@
     all: bool,
     round: &mut PollRound,
 ) -> Vec<(TargetSlot, SocketAddr)> {
-    let Some(held) = relay.declared() else {
+    let Some(declared) = relay.declared() else {
         return Vec::new();
     };
     let targets = relay.targets.borrow();
-    let engine_services = held.table.services.iter().filter(|s| s.engine.is_some());
+    let engine_services = declared
+        .table
+        .services
+        .iter()
+        .filter(|s| s.engine.is_some());
     let names: Vec<&str> = engine_services.map(|service| &*service.name).collect();
     let is_ready =
         |target: &Target| target.belief == Belief::Ready && names.contains(&&*target.entry.service);
@@ -123,7 +131,7 @@
     let in_use: Vec<TargetSlot> = in_use
         .filter(|slot| targets.get(*slot).is_some_and(is_ready))
         .collect();
-    let asked = match all {
+    let polled = match all {
         false => round.next(&in_use, &in_use),
         true => {
             let listed = names.iter().flat_map(|name| targets.of_service(name));
@@ -136,7 +144,7 @@
         }
     };
     let address = |slot| Some((slot, targets.get(slot)?.entry.address));
-    asked.into_iter().filter_map(address).collect()
+    polled.into_iter().filter_map(address).collect()
 }
 
 async fn poll_engine(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
@@ -150,7 +158,7 @@
         target.trial.record_probe_answer(now_ms);
     }
     if let Some(report) = report.filter(|report| report.is_leaving) {
-        slog::info!(relay.log, "engine says that it leaves"; "engine" => relay.name_of(slot),
+        slog::info!(relay.log, "engine reports that it leaves"; "engine" => relay.name_of(slot),
             "gone_in_ms" => report.leaves_in_ms, "running" => report.running);
         relay.record_outcome(slot, TargetOutcome::Leaves);
     }
--- a/components/relay/src/dispatch/engines.rs
+++ b/components/relay/src/dispatch/engines.rs
@@ -1,4 +1,5 @@
-//! Which engines the pools that are dispatched here may use: those that take work, are not doubted and not on trial.
+//! Keeps the engines of locally dispatched pools up to date. Engines that leave, are ejected or are on probation get no
+//! new work.
 
 use crate::state::{Declared, Relay, pool_of};
 use crate::watch::targets::{Target, TargetBook};
@@ -8,19 +9,19 @@
 use routing::Service;
 use settings::Mechanism;
 
-/// A service of the pool that is dispatched, as far as its engines go.
+/// What the engines of a service have in common, for a dispatched pool.
 struct PoolService<'a> {
     service: &'a Service,
     memory_tokens: u32,
-    /// Where most engines seem to fail, it is not they that do.
+    /// False if most engines are on probation: the fault is then likely elsewhere.
     probation_applies: bool,
-    /// The part of the engines' rate limits that this box grants.
+    /// Share of the engines' rate limits that this box grants.
     granted_share: f64,
     /// When this box began to dispatch to them.
     began_ms: u64,
 }
 
-/// An engine as its pool is to know it.
+/// The state of an engine that its pool is to use.
 struct EngineUpdate {
     info: EngineInfo,
     state: EngineState,
@@ -43,9 +44,9 @@
             data_centre: target.data_centre,
             cold_rate_per_s: self.service.cold_rate_per_s.filter(|_| is_cold),
         };
-        let doubted = target.suspicion.is_ejected(now_ms)
+        let is_suspected = target.suspicion.is_ejected(now_ms)
             || (self.probation_applies && target.trial.is_on(now_ms));
-        let state = match targets.takes_work(target) && !doubted {
+        let state = match targets.takes_work(target) && !is_suspected {
             true => EngineState::Live,
             false => EngineState::Leaving,
         };
@@ -56,22 +57,22 @@
         }
     }
 
-    /// What of an engine's rate limit is granted here; none where it has none.
+    /// Returns the part of an engine's rate limit that this box may grant, or none if the engine has no limit.
     fn rate_per_s(&self, target: &Target, now_ms: u64) -> Option<f64> {
         let limit = &target.rate_limit;
         let granted_before = limit.limited_since_ms < self.began_ms;
-        let takes_over = granted_before && now_ms < self.began_ms + FAILOVER_MS;
-        let part = match takes_over {
+        let is_failing_over = granted_before && now_ms < self.began_ms + FAILOVER_MS;
+        let share = match is_failing_over {
             true => FAILOVER_SHARE,
             false => 1.0,
         };
         let rate_per_s = limit.announced.rate_per_s(now_ms)?;
-        Some(rate_per_s * self.granted_share * part)
+        Some(rate_per_s * self.granted_share * share)
     }
 }
 
 impl Relay {
-    /// Brings all engines of each pool that is dispatched here up to date.
+    /// Updates all engines of each pool that is dispatched here.
     pub(crate) fn sync_dispatchers(&self) {
         let pools: Vec<PoolId> = self.dispatchers.borrow().keys().copied().collect();
         for pool in pools {
@@ -88,15 +89,15 @@
         }
     }
 
-    /// Brings engines up to date of which something is known to have changed.
+    /// Updates the engines that have changed.
     pub(crate) fn sync_engines(&self, changed: &[TargetId]) {
         let pools: Vec<PoolId> = self.dispatchers.borrow().keys().copied().collect();
         for pool in pools {
             let now_ms = self.now_ms();
-            let (held, targets) = (self.declared(), self.targets.borrow());
-            let services: Vec<PoolService> = held
+            let (declared, targets) = (self.declared(), self.targets.borrow());
+            let services: Vec<PoolService> = declared
                 .iter()
-                .flat_map(|held| self.services_of(held, &targets, pool))
+                .flat_map(|declared| self.services_of(declared, &targets, pool))
                 .collect();
             let mut dispatchers = self.dispatchers.borrow_mut();
             let Some(dispatcher) = dispatchers.get_mut(&pool) else {
@@ -122,7 +123,7 @@
 
     fn services_of<'a>(
         &self,
-        held: &'a Declared,
+        declared: &'a Declared,
         targets: &TargetBook,
         pool: PoolId,
     ) -> Vec<PoolService<'a>> {
@@ -130,7 +131,7 @@
         let granted_share = self.granted_share();
         let dispatchers = self.dispatchers.borrow();
         let began_ms = dispatchers.get(&pool).map_or(now_ms, |one| one.began_ms);
-        let of_pool = held.table.services.iter();
+        let of_pool = declared.table.services.iter();
         let of_pool = of_pool.filter(|service| pool_of(&service.name) == pool);
         let engines = of_pool.filter_map(|service| {
             Some(PoolService {
@@ -145,13 +146,13 @@
     }
 
     fn engines_of(&self, pool: PoolId) -> Vec<EngineUpdate> {
-        let Some(held) = self.declared() else {
+        let Some(declared) = self.declared() else {
             return Vec::new();
         };
         let now_ms = self.now_ms();
         let targets = self.targets.borrow();
         let mut engines = Vec::new();
-        for service in self.services_of(&held, &targets, pool) {
+        for service in self.services_of(&declared, &targets, pool) {
             let of_service = targets.of_service(&service.service.name);
             engines
                 .extend(of_service.map(|(_, target)| service.update_for(&targets, target, now_ms)));
@@ -159,7 +160,7 @@
         engines
     }
 
-    /// Puts an engine that failed a generation on trial. One that is silent to one caller and makes events for others is not.
+    /// Puts an engine that failed a generation on probation, unless it was silent for one caller but makes events for others.
     pub(crate) fn engine_failed_local(&self, pool: PoolId, target: TargetId, fault: EngineFault) {
         if !self.settings().has(Mechanism::Trials) {
             return;
@@ -168,20 +169,20 @@
         {
             let mut targets = self.targets.borrow_mut();
             if let Some(slot) = targets.slot_of(target) {
-                let counts = targets.failed_generation(slot, fault, now_ms);
+                let is_on_probation = targets.failed_generation(slot, fault, now_ms);
                 let name = targets.get(slot).map(|target| &*target.entry.instance);
-                slog::info!(self.log, "engine doubted"; "engine" => name,
-                    "fault" => ?fault, "on_trial" => counts);
+                slog::info!(self.log, "engine suspected"; "engine" => name,
+                    "fault" => ?fault, "on_probation" => is_on_probation);
             }
         }
-        // The pool may not have been dispatched here before.
+        // Creates the dispatcher if this box has not dispatched the pool before.
         self.with_dispatcher(pool, |_, _| ());
-        // Whether trials count may have changed for all that are on trial.
-        let passing = self.targets.borrow_mut().take_passing(now_ms);
-        self.sync_engines(&passing);
+        // Whether probation applies may have changed for all engines on probation.
+        let changed_engines = self.targets.borrow_mut().take_passing(now_ms);
+        self.sync_engines(&changed_engines);
     }
 
-    /// Notes that an engine made events, the first of a generation among them or not.
+    /// Records that an engine made events. `is_first` says whether the first of a generation is among them.
     pub(crate) fn record_engine_event(
         &self,
         target: Option<TargetId>,
--- a/components/relay/src/dispatch/gaps.rs
+++ b/components/relay/src/dispatch/gaps.rs
@@ -1,8 +1,8 @@
-//! The times between a stream's events, gathered until the dispatcher is told: eight bytes a stream and telling.
+//! Times between the events of a stream, collected until the next report to the dispatcher: 8 bytes per stream and report.
 
 use peers::GapsSeen;
 
-/// Times between events since they were last told.
+/// Times between events since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PendingGaps {
     events: u32,
@@ -16,19 +16,19 @@
 }
 
 impl PendingGaps {
-    /// Notes how slow the engine said that work is there.
+    /// Records the slowness that the engine reported, in percent.
     pub(crate) fn record_slowness(&mut self, percent: u32) {
         self.slowness_percent = percent;
     }
 
-    /// Notes so many events that came so long after the one before.
+    /// Records `events` events that arrived together, `gap_ms` after the previous event.
     pub(crate) fn record_gap(&mut self, gap_ms: u64, events: u32) {
         self.events += events;
         self.total_ms += gap_ms;
         self.longest_ms = self.longest_ms.max(gap_ms);
     }
 
-    /// What is to be told; what comes later is counted anew.
+    /// Returns the collected times for a report and resets them.
     pub(crate) fn take(&mut self) -> GapsSeen {
         let gaps = std::mem::take(self);
         GapsSeen {
--- a/components/relay/src/dispatch/heartbeat.rs
+++ b/components/relay/src/dispatch/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a box tells the dispatchers of its generations: how far they are, which ended, and what it takes back.
+//! Reports from a box to the dispatchers of its generations: progress, ends, and withdrawn requests or permits.
 
 use crate::dispatch::permits::CALL_TIMEOUT;
 use crate::state::Relay;
@@ -12,13 +12,13 @@
 use tarpc::context::Context;
 use tokio::time::sleep;
 
-/// What is to be told is gathered for this long.
+/// Delay in which changes are batched into one report.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// A dispatcher is told at least this often, so that it notices what it missed.
+/// Maximum time between two reports. A dispatcher that missed one notices it at the next.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Relay {
-    /// Notes whether a peer answered.
+    /// Records the result of a call to a peer, and returns the value if the peer answered.
     pub(crate) fn record_peer_result<T>(
         &self,
         id: BoxId,
@@ -28,9 +28,9 @@
         let now_ms = self.now_ms();
         match answered {
             Ok(value) => {
-                let was_cut_off = self.has_lost_all_peers(now_ms);
-                let heard = self.members.borrow_mut().heard(id, now_ms);
-                self.handle_peer_contact(heard, was_cut_off);
+                let had_lost_peers = self.has_lost_all_peers(now_ms);
+                let update = self.members.borrow_mut().heard(id, now_ms);
+                self.handle_peer_contact(update, had_lost_peers);
                 Some(value)
             }
             Err(error) => {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tells a pool's dispatcher something, without waiting for the answer.
+    /// Notifies a pool's dispatcher without waiting for the answer. Calls `here` if this box is the dispatcher, `there` if not.
     fn notify_dispatcher<F, Fut>(
         self: &Rc<Self>,
         pool: PoolId,
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Takes a request or a permit back.
+    /// Withdraws a request for a permit, or gives the permit back.
     pub(crate) fn notify_withdrawn(self: &Rc<Self>, pool: PoolId, permit: PermitId) {
         self.notify_dispatcher(
             pool,
@@ -79,7 +79,7 @@
         );
     }
 
-    /// Says that a generation's turn on a link is over.
+    /// Notifies the dispatcher that a generation no longer uses its transfer slot on the link of engine `from`.
     pub(crate) fn notify_relocated(self: &Rc<Self>, pool: PoolId, serial: u64, from: TargetId) {
         let permit = self.permit_id(serial);
         self.notify_dispatcher(
@@ -92,7 +92,7 @@
         );
     }
 
-    /// Says that an engine failed a generation.
+    /// Notifies the dispatcher that an engine failed a generation.
     pub(crate) fn notify_engine_failed(
         self: &Rc<Self>,
         pool: PoolId,
@@ -113,15 +113,18 @@
         );
     }
 
-    /// Tells dispatchers what this box has open, for as long as the box lives.
+    /// Reports the open generations of this box to their dispatchers until the process ends.
     pub(crate) async fn run_progress_reports(self: Rc<Self>) {
         loop {
             let changed = self.generations_changed.notified();
             if tokio::time::timeout(REPORT_INTERVAL, changed).await.is_ok() {
                 sleep(BATCH_DELAY).await;
             }
-            let first = |pool| self.dispatchers_of(pool).first().copied();
-            let pools = self.open_generations.borrow().pools_to_report(first);
+            let first_dispatcher = |pool| self.dispatchers_of(pool).first().copied();
+            let pools = self
+                .open_generations
+                .borrow()
+                .pools_to_report(first_dispatcher);
             for pool in pools {
                 self.report_progress(pool).await;
             }
@@ -162,27 +165,28 @@
         }
     }
 
-    /// Tells a box that begins to dispatch a pool, or does so again, what this box has open there: before its next
-    /// question, and also where that is nothing, as it may believe what was true a while ago. False where it did not answer.
+    /// Sends the open generations of this box to a dispatcher that has changed since the last call, before anything else
+    /// is asked of it. They are also sent if there are none, as the dispatcher may still hold an outdated list.
+    /// Returns false if the dispatcher did not answer.
     pub(crate) async fn sync_new_dispatcher(&self, dispatcher: BoxId, pool: PoolId) -> bool {
-        let before = self
+        let previous = self
             .open_generations
             .borrow_mut()
             .set_dispatcher(pool, dispatcher);
-        let Some(before) = before else {
+        let Some(previous) = previous else {
             return true;
         };
-        let is_told = self.send_open_generations(dispatcher, pool).await;
-        slog::info!(self.log, "dispatcher is another"; "pool" => %pool.model, "before" => before.0,
-            "dispatcher" => dispatcher.0, "told" => is_told);
-        if !is_told {
+        let is_synced = self.send_open_generations(dispatcher, pool).await;
+        slog::info!(self.log, "dispatcher is another"; "pool" => %pool.model, "before" => previous.0,
+            "dispatcher" => dispatcher.0, "told" => is_synced);
+        if !is_synced {
             let mut open = self.open_generations.borrow_mut();
-            open.restore_dispatcher(pool, dispatcher, before);
+            open.restore_dispatcher(pool, dispatcher, previous);
         }
-        is_told
+        is_synced
     }
 
-    /// True where the dispatcher has it.
+    /// Sends all open generations of this box in a pool to its dispatcher. Returns true if it has them.
     pub(crate) async fn send_open_generations(&self, dispatcher: BoxId, pool: PoolId) -> bool {
         let me = self.id;
         let open = self.open_generations.borrow().snapshot(pool, self.now_ms());
--- a/components/relay/src/dispatch/mod.rs
+++ b/components/relay/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Permits for generations: the pool's dispatcher, and what a box asks it and tells it.
+//! Permits for generations: the dispatcher of each engine pool, and the requests and reports that boxes send to it.
 
 pub(crate) mod completion;
 pub(crate) mod dispatcher;
--- a/components/relay/src/dispatch/open_generations.rs
+++ b/components/relay/src/dispatch/open_generations.rs
@@ -1,4 +1,4 @@
-//! The generations that this box has open, as their dispatcher is told of them.
+//! The open generations of this box, and what is not yet reported to their dispatchers.
 
 use crate::dispatch::gaps::PendingGaps;
 use crate::dispatch::usage_window::{GenerationUsage, UsageWindow};
@@ -30,17 +30,17 @@
     }
 }
 
-/// Tokens after which a dispatcher is told how far a generation is.
+/// Number of new tokens of a generation after which its progress is reported.
 const REPORT_EACH_TOKENS: u32 = 128;
 
-/// All open generations, and what is to be told.
+/// All open generations, and ended ones that are not yet reported.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenGenerations {
     open: BTreeMap<u64, OpenGeneration>,
     ended: Vec<(PoolId, EndedStream)>,
     next_serial: u64,
     usage_window: UsageWindow,
-    /// The dispatchers that were told last.
+    /// For each pool the dispatcher that last received the open generations.
     last_dispatchers: BTreeMap<PoolId, BoxId>,
 }
 
@@ -51,7 +51,7 @@
     }
 
     pub(crate) fn insert(&mut self, request: AcquireRequest, target: TargetId, now_ms: u64) {
-        let run = OpenGeneration {
+        let generation = OpenGeneration {
             request,
             target,
             tokens: 0,
@@ -59,7 +59,7 @@
             gaps: PendingGaps::default(),
             began_ms: now_ms,
         };
-        self.open.insert(request.permit.serial, run);
+        self.open.insert(request.permit.serial, generation);
     }
 
     pub(crate) fn get(&self, serial: u64) -> Option<OpenGeneration> {
@@ -67,133 +67,146 @@
     }
 
     pub(crate) fn set_target(&mut self, serial: u64, target: TargetId) {
-        if let Some(run) = self.open.get_mut(&serial) {
-            run.target = target;
-            // What came so far says nothing of the engine where it goes on.
-            run.gaps = PendingGaps::default();
+        if let Some(generation) = self.open.get_mut(&serial) {
+            generation.target = target;
+            // Gaps measured so far belong to the previous engine.
+            generation.gaps = PendingGaps::default();
         }
     }
 
-    /// Notes how far a generation is. True where its dispatcher is to be told.
+    /// Records the token count of a generation. Returns true if it is to be reported now.
     pub(crate) fn record_tokens(&mut self, serial: u64, tokens: u32) -> bool {
-        let Some(run) = self.open.get_mut(&serial) else {
+        let Some(generation) = self.open.get_mut(&serial) else {
             return false;
         };
-        let first = run.tokens == 0 && tokens > 0;
-        run.tokens = tokens;
-        first || tokens >= run.reported_tokens + REPORT_EACH_TOKENS
+        let first = generation.tokens == 0 && tokens > 0;
+        generation.tokens = tokens;
+        first || tokens >= generation.reported_tokens + REPORT_EACH_TOKENS
     }
 
-    /// Notes how slow the engine of a generation says that work is there.
+    /// Records the slowness that the engine of a generation reported, in percent.
     pub(crate) fn record_slowness(&mut self, serial: u64, percent: u32) {
-        if let Some(run) = self.open.get_mut(&serial) {
-            run.gaps.record_slowness(percent);
+        if let Some(generation) = self.open.get_mut(&serial) {
+            generation.gaps.record_slowness(percent);
         }
     }
 
-    /// Notes how long the engine of a generation took for its next events.
+    /// Records the time in which the engine of a generation made its next events.
     pub(crate) fn record_gap(&mut self, serial: u64, engine: TargetId, gap_ms: u64, events: u32) {
-        let Some(run) = self.open.get_mut(&serial) else {
+        let Some(generation) = self.open.get_mut(&serial) else {
             return;
         };
-        // Its permit may be at the engine where it will go on, while the source still makes events.
-        if run.target == engine {
-            run.gaps.record_gap(gap_ms, events);
+        // During a migration the permit may already be for the destination, while the source still makes events.
+        if generation.target == engine {
+            generation.gaps.record_gap(gap_ms, events);
         }
     }
 
     pub(crate) fn record_end(&mut self, serial: u64, finished: bool, now_ms: u64) {
-        let Some(mut run) = self.open.remove(&serial) else {
+        let Some(mut generation) = self.open.remove(&serial) else {
             return;
         };
-        self.usage_window.record_end(run.usage_until(now_ms));
+        self.usage_window.record_end(generation.usage_until(now_ms));
         let ended = EndedStream {
             serial,
-            tokens: run.tokens,
+            tokens: generation.tokens,
             finished,
-            gaps: run.gaps.take(),
+            gaps: generation.gaps.take(),
         };
-        self.ended.push((run.request.pool, ended));
+        self.ended.push((generation.request.pool, ended));
     }
 
-    /// The pools in which something is open or ended, and those of which another dispatcher was told last than `now` names:
-    /// what was open when it was told may have ended since.
-    pub(crate) fn pools_to_report(&self, now: impl Fn(PoolId) -> Option<BoxId>) -> Vec<PoolId> {
-        let open = self.open.values().map(|run| run.request.pool);
+    /// Returns the pools with open or unreported ended generations, and those whose dispatcher, as named by `current`, is not
+    /// the one that received the last report: what it knows of this box may be outdated.
+    pub(crate) fn pools_to_report(&self, current: impl Fn(PoolId) -> Option<BoxId>) -> Vec<PoolId> {
+        let open = self.open.values().map(|generation| generation.request.pool);
         let ended = self.ended.iter().map(|end| end.0);
-        let is_new = |(pool, told): &(&PoolId, &BoxId)| now(**pool).is_some_and(|id| id != **told);
-        let moved = self
+        let is_changed =
+            |(pool, last): &(&PoolId, &BoxId)| current(**pool).is_some_and(|id| id != **last);
+        let changed = self
             .last_dispatchers
             .iter()
-            .filter(is_new)
+            .filter(is_changed)
             .map(|(pool, _)| *pool);
-        let mut pools: Vec<PoolId> = open.chain(ended).chain(moved).collect();
+        let mut pools: Vec<PoolId> = open.chain(ended).chain(changed).collect();
         pools.sort();
         pools.dedup();
         pools
     }
 
-    /// What a pool's dispatcher is not yet told.
+    /// Takes progress and ends in a pool that are not yet reported to its dispatcher.
     pub(crate) fn take_unreported(
         &mut self,
         pool: PoolId,
     ) -> (Vec<StreamProgress>, Vec<EndedStream>) {
         let mut progress = Vec::new();
-        for (serial, run) in &mut self.open {
-            if run.request.pool == pool && run.tokens > run.reported_tokens {
-                run.reported_tokens = run.tokens;
+        for (serial, generation) in &mut self.open {
+            if generation.request.pool == pool && generation.tokens > generation.reported_tokens {
+                generation.reported_tokens = generation.tokens;
                 progress.push(StreamProgress {
                     serial: *serial,
-                    tokens: run.tokens,
-                    gaps: run.gaps.take(),
+                    tokens: generation.tokens,
+                    gaps: generation.gaps.take(),
                 });
             }
         }
-        let (told, left) = std::mem::take(&mut self.ended)
+        let (taken, remaining) = std::mem::take(&mut self.ended)
             .into_iter()
-            .partition(|(of, _)| *of == pool);
-        self.ended = left;
-        let told: Vec<(PoolId, EndedStream)> = told;
-        (progress, told.into_iter().map(|(_, ended)| ended).collect())
+            .partition(|(ended_in, _)| *ended_in == pool);
+        self.ended = remaining;
+        let taken: Vec<(PoolId, EndedStream)> = taken;
+        (
+            progress,
+            taken.into_iter().map(|(_, ended)| ended).collect(),
+        )
     }
 
-    /// Notes that a box that dispatches a pool is told. Says which other was told last, if any: the new one knows nothing of
-    /// this box, or what was true a while ago.
+    /// Records that a dispatcher receives the reports of a pool. Returns the previous one if it was another box: the new
+    /// dispatcher then knows nothing of this box, or has an outdated list.
     pub(crate) fn set_dispatcher(&mut self, pool: PoolId, dispatcher: BoxId) -> Option<BoxId> {
-        let before = self.last_dispatchers.insert(pool, dispatcher);
-        before.filter(|before| *before != dispatcher)
+        let previous = self.last_dispatchers.insert(pool, dispatcher);
+        previous.filter(|previous| *previous != dispatcher)
     }
 
-    /// Notes that a dispatcher could not be told, unless another was told meanwhile.
-    pub(crate) fn restore_dispatcher(&mut self, pool: PoolId, dispatcher: BoxId, before: BoxId) {
+    /// Reverts [`Self::set_dispatcher`] after a failed report, unless the dispatcher has changed again since.
+    pub(crate) fn restore_dispatcher(&mut self, pool: PoolId, dispatcher: BoxId, previous: BoxId) {
         if self.last_dispatchers.get(&pool) == Some(&dispatcher) {
-            self.last_dispatchers.insert(pool, before);
+            self.last_dispatchers.insert(pool, previous);
         }
     }
 
-    /// All that a dispatcher that is new to this box is told.
+    /// Returns everything that a dispatcher new to this box needs: open generations and recent usage.
     pub(crate) fn snapshot(&self, pool: PoolId, now_ms: u64) -> OpenStreams {
-        let of_pool = self.open.values().filter(|run| run.request.pool == pool);
-        let running = of_pool.map(|run| run.usage_until(now_ms));
+        let of_pool = self
+            .open
+            .values()
+            .filter(|generation| generation.request.pool == pool);
+        let running = of_pool.map(|generation| generation.usage_until(now_ms));
         OpenStreams {
             streams: self.streams_in(pool),
-            used: self.usage_window.of_pool(pool, running, now_ms),
+            used: self.usage_window.usage_in_pool(pool, running, now_ms),
         }
     }
 
     fn streams_in(&self, pool: PoolId) -> Vec<AdoptedStream> {
-        let of_pool = self.open.values().filter(|run| run.request.pool == pool);
+        let of_pool = self
+            .open
+            .values()
+            .filter(|generation| generation.request.pool == pool);
         of_pool
-            .map(|run| AdoptedStream {
-                request: run.request,
-                target: run.target,
-                tokens: run.tokens,
+            .map(|generation| AdoptedStream {
+                request: generation.request,
+                target: generation.target,
+                tokens: generation.tokens,
             })
             .collect()
     }
 
     pub(crate) fn count_in(&self, pool: PoolId) -> usize {
-        let of_pool = self.open.values().filter(|run| run.request.pool == pool);
+        let of_pool = self
+            .open
+            .values()
+            .filter(|generation| generation.request.pool == pool);
         of_pool.count()
     }
 
--- a/components/relay/src/dispatch/permits.rs
+++ b/components/relay/src/dispatch/permits.rs
@@ -1,6 +1,5 @@
-//! How a box gets the permission to run a generation on an engine: from the pool's dispatcher, which is
-//! found by rendezvous hashing, from the next in rank where that one does not answer, and at the end from
-//! its own view.
+//! Acquires permits to run generations on engines. A box asks the pool's dispatcher, which is found by rendezvous
+//! hashing, then the next in rank if that one does not answer, and finally decides by its own view.
 
 use crate::dispatch::dispatcher::refusal;
 use crate::state::{Relay, pool_of};
@@ -12,45 +11,45 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest time for a dispatcher's first word. Boxes are some milliseconds apart; a box at a fifth of its
-/// speed still answers in this time.
+/// Timeout of a dispatcher's first reply. Boxes are a few milliseconds apart; a box at a fifth of its speed still answers
+/// in this time.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long a dispatcher holds a request that has to wait, before it is asked again.
+/// How long a dispatcher keeps a call open for a request that has to wait, before the box calls again.
 const WAIT_PER_CALL_MS: u32 = 200;
-/// What an answer may take beyond that.
+/// Additional time that the reply to such a call may take.
 const WAIT_SLACK: Duration = Duration::from_millis(120);
-/// How long a box waits for the news of a target that its dispatcher already names.
+/// How long a box waits until it knows a target that its dispatcher has granted.
 const TARGET_WAIT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest time for other calls to a dispatcher.
+/// Timeout of other calls to a dispatcher.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Dispatchers that are asked before a box decides by its own view.
+/// Number of dispatchers that are tried before a box decides by its own view.
 const DISPATCHERS_TRIED_MAX: usize = 2;
 
-/// What a generation needs.
+/// What a generation needs of a permit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PermitDemand<'a> {
-    /// The request's name, for the log.
+    /// The request ID, for the log.
     pub id: &'a str,
     pub service: &'a str,
     pub account: prelude::AccountId,
-    /// Requests of one kind have answers of like length.
+    /// Requests of one kind have answers of similar length.
     pub kind: u8,
     pub prompt_tokens: u32,
     pub max_tokens: u32,
     pub rank: u8,
-    /// When its caller came, on the clock of this box.
+    /// When its caller arrived, on the clock of this box.
     pub arrived_ms: u64,
     pub pause_goal_ms: Option<u64>,
-    /// When it is refused if it still waits.
+    /// When the request is refused if it still waits.
     pub wait_deadline_ms: u64,
-    /// When its caller leaves.
+    /// When its caller gives up.
     pub caller_deadline_ms: u64,
     pub avoid: Avoided,
 }
 
 impl PermitDemand<'_> {
-    /// The request for a permit, as it is asked now. A request that is asked again keeps its caller's time of coming, and has
-    /// less time left: a dispatcher that is new takes its place in line from this.
+    /// Returns the request for a permit to send now. A retry keeps the caller's arrival time and has less time left, so that a
+    /// new dispatcher can restore the place in the queue.
     fn request(&self, permit: PermitId, now_ms: u64) -> AcquireRequest {
         AcquireRequest {
             pool: pool_of(self.service),
@@ -71,7 +70,7 @@
     }
 }
 
-/// The permission to run one generation on one engine. It ends when it is dropped.
+/// A permit to run one generation on one engine. It is released on drop.
 pub(crate) struct Permit {
     relay: Rc<Relay>,
     pub(crate) serial: u64,
@@ -81,12 +80,12 @@
 }
 
 impl Permit {
-    /// Notes that the generation came to its own end.
+    /// Records that the generation finished by itself.
     pub(crate) fn mark_finished(&mut self) {
         self.finished = true;
     }
 
-    /// Notes how long its engine took for its next events.
+    /// Records the time in which its engine made its next events.
     pub(crate) fn record_gap(&self, gap_ms: u64, events: u32) {
         let Some(engine) = self.relay.id_of(self.slot) else {
             return;
@@ -95,7 +94,7 @@
         open.record_gap(self.serial, engine, gap_ms, events);
     }
 
-    /// Notes how slow its engine says that work is there.
+    /// Records the slowness that its engine reported, in percent.
     pub(crate) fn record_slowness(&self, percent: Option<u32>) {
         let mut open = self.relay.open_generations.borrow_mut();
         if let Some(percent) = percent {
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Notes how many tokens the generation has.
+    /// Records the token count of the generation.
     pub(crate) fn record_tokens(&self, tokens: u32) {
         if self
             .relay
@@ -138,23 +137,23 @@
         }
     }
 
-    /// The boxes that dispatch a pool, the first in rank first.
+    /// Returns the candidates for the dispatcher of a pool, in order of rank.
     pub(crate) fn dispatchers_of(&self, pool: PoolId) -> Rc<[BoxId]> {
         let members = self.members.borrow();
         members.ranked(role_of(pool), self.is_stopping(), self.now_ms())
     }
 
-    /// Gets a permit.
+    /// Acquires a permit.
     ///
     /// # Errors
-    /// The refusal, which is true: nothing was sent.
+    /// The refusal. It guarantees that nothing was sent to an engine.
     pub(crate) async fn acquire(
         self: &Rc<Self>,
-        want: &PermitDemand<'_>,
+        demand: &PermitDemand<'_>,
     ) -> Result<Permit, Refusal> {
         let serial = self.open_generations.borrow_mut().next_serial();
-        let request = want.request(self.permit_id(serial), self.now_ms());
-        let target = self.request_permit(request, want).await?;
+        let request = demand.request(self.permit_id(serial), self.now_ms());
+        let target = self.request_permit(request, demand).await?;
         let Some(slot) = self.wait_for_slot(target).await else {
             self.notify_withdrawn(request.pool, request.permit);
             return Err(refusal(RefusalReason::NoTarget));
@@ -171,7 +170,7 @@
         })
     }
 
-    /// A target that a dispatcher names, which it may know some milliseconds before this box does.
+    /// Returns the slot of a granted target. The dispatcher may know the target some milliseconds before this box does.
     async fn wait_for_slot(&self, target: TargetId) -> Option<TargetSlot> {
         let mut changes = self.target_changes.subscribe();
         let until = Instant::now() + TARGET_WAIT_TIMEOUT;
@@ -190,7 +189,7 @@
     async fn request_permit(
         self: &Rc<Self>,
         request: AcquireRequest,
-        want: &PermitDemand<'_>,
+        demand: &PermitDemand<'_>,
     ) -> Result<TargetId, Refusal> {
         let mut withdrawal = WithdrawOnDrop {
             relay: self.clone(),
@@ -201,25 +200,25 @@
         let mut failed = 0;
         loop {
             let first = self.dispatchers_of(request.pool).first().copied();
-            let asked = first
+            let dispatcher = first
                 .filter(|_| failed < DISPATCHERS_TRIED_MAX)
                 .unwrap_or(self.id);
-            let is_told = self.sync_new_dispatcher(asked, request.pool).await;
+            let is_synced = self.sync_new_dispatcher(dispatcher, request.pool).await;
             let now_ms = self.now_ms();
-            let request = want.request(request.permit, now_ms);
-            let reply = match asked == self.id {
-                _ if !is_told => None,
+            let request = demand.request(request.permit, now_ms);
+            let reply = match dispatcher == self.id {
+                _ if !is_synced => None,
                 true => Some(self.acquire_local(request, now_ms, wait_ms).await),
                 false => tokio::select! {
-                    reply = self.acquire_remote(asked, request, wait_ms) => reply,
-                    () = self.dispatcher_changed(asked, request.pool) => {
-                        // The next one is told what runs here before it grants.
+                    reply = self.acquire_remote(dispatcher, request, wait_ms) => reply,
+                    () = self.dispatcher_changed(dispatcher, request.pool) => {
+                        // The next dispatcher receives the open generations of this box before it grants.
                         self.generations_changed.notify_one();
                         continue;
                     }
                 },
             };
-            // Failures in a row count; any answer begins anew.
+            // Only consecutive failures count.
             failed = reply.as_ref().map_or(failed + 1, |_| 0);
             match reply {
                 Some(PermitReply::Granted { target }) => {
@@ -232,19 +231,19 @@
                 }
                 Some(PermitReply::RefusedBehind(refusal, standing)) => {
                     withdrawal.armed = false;
-                    self.log_refusal(want, &request, refusal, standing);
+                    self.log_refusal(demand, &request, refusal, standing);
                     return Err(refusal);
                 }
                 Some(PermitReply::Waiting { .. }) => wait_ms = WAIT_PER_CALL_MS,
                 None => {}
             }
-            if self.now_ms() >= want.wait_deadline_ms {
+            if self.now_ms() >= demand.wait_deadline_ms {
                 return Err(refusal(RefusalReason::DeadlinePassed));
             }
         }
     }
 
-    /// Waits until another box dispatches a pool: all that wait then ask that one at once, and keep their order.
+    /// Waits until another box dispatches a pool. All waiting requests then go to it at once and keep their order.
     async fn dispatcher_changed(&self, dispatcher: BoxId, pool: PoolId) {
         loop {
             let changed = self.peer_suspected.notified();
@@ -273,8 +272,8 @@
         self.record_peer_result(dispatcher, call.await, "acquire")
     }
 
-    /// Asks where a running generation can go on. Its permit then is for that engine. Where no dispatcher
-    /// answers, this box decides by what it knows of its own generations.
+    /// Asks the dispatcher for an engine on which a running generation can continue, and moves its permit there. If no
+    /// dispatcher answers, this box decides by what it knows of its own generations.
     pub(crate) async fn relocate(
         self: &Rc<Self>,
         pool: PoolId,
@@ -296,7 +295,7 @@
             _ => None,
         };
         if reply == Some(RelocateReply::NotKnown) {
-            // A dispatcher that is new to the role is told first.
+            // A new dispatcher first needs the open generations of this box.
             if let Some(id) = dispatcher {
                 self.send_open_generations(id, pool).await;
                 reply = self.relocate_remote(id, request.clone()).await;
@@ -331,7 +330,7 @@
     }
 }
 
-/// Takes a request back when whoever waits for it leaves.
+/// Withdraws a request for a permit if the waiting caller is dropped.
 struct WithdrawOnDrop {
     relay: Rc<Relay>,
     request: AcquireRequest,
--- a/components/relay/src/dispatch/permits_tests.rs
+++ b/components/relay/src/dispatch/permits_tests.rs
@@ -2,8 +2,8 @@
 use prelude::Avoided;
 
 #[test]
-fn a_request_that_is_asked_again_keeps_its_callers_time_of_coming() {
-    let want = PermitDemand {
+fn retried_request_keeps_its_callers_arrival_time() {
+    let demand = PermitDemand {
         id: "r-1",
         service: "model",
         account: prelude::AccountId::default(),
@@ -17,10 +17,10 @@
         caller_deadline_ms: 6_100,
         avoid: Avoided::default(),
     };
-    let first = want.request(PermitId::default(), 1_100);
+    let first = demand.request(PermitId::default(), 1_100);
     assert_eq!((first.waited_ms, first.wait_left_ms), (100, 900));
-    let again = want.request(PermitId::default(), 1_400);
+    let again = demand.request(PermitId::default(), 1_400);
     assert_eq!((again.waited_ms, again.wait_left_ms), (400, 600));
     assert_eq!(again.caller_left_ms, 4_700);
-    assert_eq!(want.request(PermitId::default(), 3_100).wait_left_ms, 1);
+    assert_eq!(demand.request(PermitId::default(), 3_100).wait_left_ms, 1);
 }
--- a/components/relay/src/dispatch/poll_round_tests.rs
+++ b/components/relay/src/dispatch/poll_round_tests.rs
@@ -8,18 +8,18 @@
 }
 
 #[test]
-fn all_engines_of_a_small_pool_are_asked_at_each_look() {
+fn all_engines_of_a_small_pool_are_polled_in_each_round() {
     let ready = slots(POLLED_MAX);
     let mut round = PollRound::default();
     for _ in 0..3 {
-        let mut asked = round.next(&ready, &ready[7..9]);
-        asked.sort();
-        assert_eq!(asked, ready);
+        let mut polled = round.next(&ready, &ready[7..9]);
+        polled.sort();
+        assert_eq!(polled, ready);
     }
 }
 
 #[test]
-fn of_10_000_engines_a_bounded_number_is_asked_at_each_look() {
+fn polls_per_round_are_bounded_for_10_000_engines() {
     let ready = slots(10_000);
     let mut round = PollRound::default();
     for _ in 0..10 {
@@ -28,28 +28,28 @@
 }
 
 #[test]
-fn engines_that_run_something_of_the_box_are_asked_at_each_look_and_the_others_in_turn() {
+fn engines_in_use_are_polled_in_each_round_and_others_in_turn() {
     let ready = slots(1_000);
     let in_use = &ready[500..520];
     let mut round = PollRound::default();
     let mut seen = BTreeSet::new();
     for _ in 0..1_000_usize.div_ceil(POLLED_MAX - in_use.len()) {
-        let asked = round.next(&ready, in_use);
-        assert!(in_use.iter().all(|slot| asked.contains(slot)));
-        seen.extend(asked);
+        let polled = round.next(&ready, in_use);
+        assert!(in_use.iter().all(|slot| polled.contains(slot)));
+        seen.extend(polled);
     }
     assert_eq!(seen.len(), 1_000);
 }
 
 #[test]
-fn where_many_run_something_of_the_box_they_are_asked_in_turn_too() {
+fn engines_in_use_beyond_the_limit_are_polled_in_turn() {
     let ready = slots(1_000);
     let mut round = PollRound::default();
     let mut seen = BTreeSet::new();
     for _ in 0..1_000_usize.div_ceil(POLLED_MAX) {
-        let asked = round.next(&ready, &ready);
-        assert!(asked.len() <= POLLED_MAX);
-        seen.extend(asked);
+        let polled = round.next(&ready, &ready);
+        assert!(polled.len() <= POLLED_MAX);
+        seen.extend(polled);
     }
     assert_eq!(seen.len(), 1_000);
 }
--- a/components/relay/src/dispatch/relocation.rs
+++ b/components/relay/src/dispatch/relocation.rs
@@ -1,5 +1,5 @@
-//! Where a running generation goes on: the dispatcher's word, once it is the generation's turn on the link of the engine that
-//! it leaves.
+//! Relocation of running generations: the dispatcher chooses the engine on which one continues, once the generation has a
+//! transfer slot on the link of the engine that it leaves.
 
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::state::Relay;
@@ -9,41 +9,41 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a generation waits here for its turn on a link before it asks again.
+/// How long a call waits for a transfer slot before the box has to call again.
 const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How often it looks whether it is its turn.
+/// How often a waiting call tries to acquire the slot.
 const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(8);
 impl Dispatcher {
     fn relocate(&mut self, request: &RelocateRequest, now_ms: u64) -> RelocateReply {
         let (permit, from) = (request.permit, request.from);
-        let Some(held_tokens) = self.pool.tokens_in_use(permit) else {
+        let Some(tokens_in_use) = self.pool.tokens_in_use(permit) else {
             return RelocateReply::NotKnown;
         };
-        let asked = self.transfer_slots.as_mut();
-        if asked.is_some_and(|turns| !turns.try_acquire(from, permit, held_tokens, now_ms)) {
+        let slots = self.transfer_slots.as_mut();
+        if slots.is_some_and(|slots| !slots.try_acquire(from, permit, tokens_in_use, now_ms)) {
             return RelocateReply::Wait;
         }
-        let arriving = self.transfer_slots.as_ref();
-        let arriving = arriving.map_or(Vec::new(), |turns| turns.inbound_targets(now_ms));
+        let inbound = self.transfer_slots.as_ref();
+        let inbound = inbound.map_or(Vec::new(), |slots| slots.inbound_targets(now_ms));
         let relocation = Relocation {
             permit,
             from,
             avoid: &request.avoid,
-            inbound: &arriving,
+            inbound: &inbound,
             is_optional: request.may_stay,
         };
-        let found = self.pool.relocate(&relocation, now_ms);
-        match (found, &mut self.transfer_slots) {
-            (Some(target), Some(turns)) => turns.start_transfer(from, permit, target, now_ms),
-            (None, Some(turns)) => turns.release(from, permit),
+        let destination = self.pool.relocate(&relocation, now_ms);
+        match (destination, &mut self.transfer_slots) {
+            (Some(target), Some(slots)) => slots.start_transfer(from, permit, target, now_ms),
+            (None, Some(slots)) => slots.release(from, permit),
             (_, None) => {}
         }
-        found.map_or(RelocateReply::NoRoom, RelocateReply::Go)
+        destination.map_or(RelocateReply::NoRoom, RelocateReply::Go)
     }
 }
 
 impl Relay {
-    /// Decides where a running generation goes on, once it is its turn.
+    /// Chooses the engine on which a running generation continues, once it has a transfer slot.
     pub(crate) async fn relocate_local(&self, request: &RelocateRequest) -> RelocateReply {
         let until = Instant::now() + SLOT_WAIT_TIMEOUT;
         loop {
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Ends the turn of a generation.
+    /// Releases the transfer slot of a generation.
     pub(crate) fn release_transfer_local(&self, pool: PoolId, permit: PermitId, from: TargetId) {
         self.with_dispatcher(pool, |dispatcher, _| {
-            if let Some(turns) = &mut dispatcher.transfer_slots {
-                turns.release(from, permit);
+            if let Some(slots) = &mut dispatcher.transfer_slots {
+                slots.release(from, permit);
             }
         });
     }
--- a/components/relay/src/dispatch/shares.rs
+++ b/components/relay/src/dispatch/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of client accounts at the dispatcher: what boxes tell, why a request was refused, and what operators see.
+//! Shares of client accounts at the dispatcher: usage reported by boxes, reasons of refusals, and views for operators.
 
 use crate::dispatch::dispatcher::{Dispatcher, granted};
 use crate::dispatch::permits::PermitDemand;
@@ -9,13 +9,13 @@
 use prelude::{AccountId, PoolId, Refusal, Standing};
 use std::collections::HashMap;
 
-/// Accounts that have metrics of their own, for the life of the process; the others are summed.
+/// Maximum number of accounts with metrics of their own, until the process ends. The others are summed.
 const LABELS_MAX: usize = 10;
-/// The label of the others.
+/// The label of the sum over all other accounts.
 const OTHERS: &str = "other";
 
 impl Dispatcher {
-    /// A refusal, with who stood before the request.
+    /// Returns a refusal with the counts of requests that were ahead in the queue.
     pub(crate) fn refusal_reply(&self, refusal: Refusal, demand: &Demand) -> PermitReply {
         PermitReply::RefusedBehind(refusal, self.pool.standing(demand))
     }
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Who is charged for the requests of an account. A platform's fleet has accounts alone: partner and owner are the same
-    /// for all.
+    /// Returns the share to which requests of an account are charged. A platform's fleet only has accounts: partner and owner
+    /// are the same for all.
     pub(crate) fn share_of(&self, account: AccountId) -> Share {
         Share {
             account,
@@ -49,64 +49,66 @@
     }
 
     pub(crate) fn recent_usage(&self, used: &[AccountUsed]) -> Vec<RecentUsage> {
-        let of_account = |one: &AccountUsed| RecentUsage {
-            share: self.share_of(one.account),
-            held_token_ms: one.held_token_ms,
-            prompt_tokens: one.prompt_tokens,
+        let of_account = |usage: &AccountUsed| RecentUsage {
+            share: self.share_of(usage.account),
+            held_token_ms: usage.held_token_ms,
+            prompt_tokens: usage.prompt_tokens,
         };
         used.iter().map(of_account).collect()
     }
 
-    /// Logs who stood before a request that was refused, beside its name.
+    /// Logs a refusal with the request ID and the counts of requests that were ahead in the queue.
     pub(crate) fn log_refusal(
         &self,
-        want: &PermitDemand<'_>,
+        demand: &PermitDemand<'_>,
         request: &AcquireRequest,
         refusal: Refusal,
         standing: Standing,
     ) {
-        slog::info!(self.log, "permit refused"; "id" => want.id, "rank" => want.rank,
-            "account" => self.name_of_account(want.account), "reason" => refusal.reason.as_str(),
+        slog::info!(self.log, "permit refused"; "id" => demand.id, "rank" => demand.rank,
+            "account" => self.name_of_account(demand.account), "reason" => refusal.reason.as_str(),
             "retry_after_ms" => refusal.retry_after_ms, "waited_ms" => request.waited_ms,
             "wait_left_ms" => request.wait_left_ms, "waiting" => standing.waiting,
             "before_more_urgent" => standing.more_urgent, "before_own" => standing.own,
             "before_others" => standing.others, "floods" => standing.floods,
             "held_permille" => standing.held_permille,
             "entitled_permille" => standing.entitled_permille, "lent_ms" => standing.lent_ms);
-        metrics::counter!("shuntpier_permits_refused", "rank" => want.rank.to_string(),
+        metrics::counter!("shuntpier_permits_refused", "rank" => demand.rank.to_string(),
             "floods" => if standing.floods { "yes" } else { "no" })
         .increment(1);
     }
 
-    /// An account's name in the declarations; its key where they name it no more.
+    /// Returns the account's name in the declarations, or its ID if it is no longer declared.
     fn name_of_account(&self, id: AccountId) -> String {
-        let held = self.declared();
-        let accounts = held.as_ref().map(|held| held.table.accounts.iter());
+        let declared = self.declared();
+        let accounts = declared
+            .as_ref()
+            .map(|declared| declared.table.accounts.iter());
         let named = accounts.and_then(|mut accounts| {
             accounts.find(|account| AccountId::from_name(&account.name) == id)
         });
         named.map_or_else(|| id.to_string(), |account| account.name.to_string())
     }
 
-    /// The pools that are dispatched here, with their accounts.
+    /// Returns the pools that are dispatched here, with their accounts.
     pub(crate) fn share_views(&self) -> Vec<PoolSharesView> {
-        let Some(held) = self.declared() else {
+        let Some(declared) = self.declared() else {
             return Vec::new();
         };
         let dispatchers = self.dispatchers.borrow();
         let mut views = Vec::new();
-        for service in &held.table.services {
+        for service in &declared.table.services {
             let Some(dispatcher) = dispatchers.get(&pool_of(&service.name)) else {
                 continue;
             };
             let accounts = dispatcher.pool.accounts();
-            let accounts = accounts.iter().map(|one| self.account_view(one));
+            let accounts = accounts.iter().map(|usage| self.account_view(usage));
             views.push(PoolSharesView::new(&service.name, accounts.collect()));
         }
         views
     }
 
-    fn account_view(&self, one: &AccountUsage) -> AccountShareView {
+    fn account_view(&self, usage: &AccountUsage) -> AccountShareView {
         let of_rank = |(rank, used): (&u8, &RankCounts)| RankShareView {
             rank: *rank,
             granted: used.granted,
@@ -114,16 +116,16 @@
             waiting: used.waiting,
         };
         AccountShareView {
-            account: self.name_of_account(one.account),
-            held_part: one.held_part,
-            entitled_part: one.entitled_part,
-            lent_ms: one.excess_ms as i64,
-            cap_share: one.cap_share,
-            ranks: one.ranks.iter().map(of_rank).collect(),
+            account: self.name_of_account(usage.account),
+            held_part: usage.held_part,
+            entitled_part: usage.entitled_part,
+            lent_ms: usage.excess_ms as i64,
+            cap_share: usage.cap_share,
+            ranks: usage.ranks.iter().map(of_rank).collect(),
         }
     }
 
-    /// Sets the gauges of the largest accounts.
+    /// Sets the gauges of the accounts that have a label, and of the sum of the others.
     pub(crate) fn export_share_gauges(&self) {
         let mut sums: HashMap<String, (f64, u64)> = HashMap::new();
         for account in self
@@ -143,7 +145,8 @@
         }
     }
 
-    /// The label of an account's metrics. Those that held most when they were first seen have one of their own.
+    /// Returns the label of an account's metrics. The first [`LABELS_MAX`] accounts get their own, those with the most memory
+    /// in use first.
     fn label_of(&self, account: String) -> String {
         let mut labels = self.account_labels.borrow_mut();
         if labels.contains(&account) {
--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -1,5 +1,6 @@
-//! A box that begins to dispatch a pool, or that finds that another dispatched it meanwhile, grants nothing for a moment: the
-//! boxes tell it what runs, and the callers that wait ask it again, so that they keep their places.
+//! Takeover of the dispatcher role of a pool. A box that begins to dispatch, or that detects that another box dispatched in
+//! the meantime, holds grants for a moment. In that time the boxes report their running generations, and waiting requests
+//! are submitted again, so that they keep their place in the queue.
 
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::membership::gossip::tell_current;
@@ -9,50 +10,51 @@
 use prelude::{PermitId, PoolId};
 use std::rc::Rc;
 
-/// How long nothing is granted. A small part of any goal for a first token.
+/// How long grants are held. This is a small part of any goal for the time to first token.
 const TAKEOVER_HOLD_MS: u64 = 80;
-/// Boxes that tell within this time after it begins do not hold grants again: each tells within a second, so that callers
-/// lose 80 ms once.
+/// Grants are not held again within this time. Each box reports within a second, so that all reports of one takeover
+/// delay callers by 80 ms only once.
 const HOLD_COOLDOWN_MS: u64 = 1_000;
 
 impl Dispatcher {
-    /// Grants nothing for a moment, unless it did not long ago.
+    /// Holds grants for [`TAKEOVER_HOLD_MS`], unless they were held less than [`HOLD_COOLDOWN_MS`] ago.
     fn hold_grants(&mut self, now_ms: u64) {
         if self.grants_from_ms == 0 || now_ms >= self.grants_from_ms + HOLD_COOLDOWN_MS {
             self.grants_from_ms = now_ms + TAKEOVER_HOLD_MS;
         }
     }
 
-    /// Notes that another box dispatched the pool meanwhile. True where the others are to hear that this one does again.
+    /// Records that another box dispatched the pool in the meantime. Returns true if this box is to announce itself again.
     pub(crate) fn record_other_dispatcher(&mut self, now_ms: u64) -> bool {
         self.hold_grants(now_ms);
-        let says_again = now_ms >= self.announced_ms + HOLD_COOLDOWN_MS;
-        if says_again {
+        let must_announce = now_ms >= self.announced_ms + HOLD_COOLDOWN_MS;
+        if must_announce {
             self.announced_ms = now_ms;
         }
         self.drop_abandoned_requests();
-        says_again
+        must_announce
     }
 
-    /// Forgets requests of which nobody waits here for the word now: most asked another box, and the pace of grants that was
-    /// seen while they seemed to wait would have others refused. One that is between two questions comes with its place.
+    /// Drops queued requests whose caller no longer waits for a verdict here. Most have gone to another box, and the grant
+    /// rate measured while they were queued would cause refusals of others. A request that is between two calls keeps its
+    /// place, as it sends the time that it has waited.
     fn drop_abandoned_requests(&mut self) {
-        let gone = self
+        let abandoned = self
             .waiting
             .extract_if(|_, waiting| waiting.verdict_sender.is_closed());
-        let gone: Vec<PermitId> = gone.map(|(permit, _)| permit).collect();
-        for permit in &gone {
+        let abandoned: Vec<PermitId> = abandoned.map(|(permit, _)| permit).collect();
+        for permit in &abandoned {
             self.pool.withdraw(*permit);
         }
-        if !gone.is_empty() {
+        if !abandoned.is_empty() {
             self.pool.reset_grant_rate();
         }
     }
 }
 
 impl Relay {
-    /// Begins to dispatch a pool that another box may have dispatched before, whether or not this box told that one of any
-    /// generation: what this box has open there is known at once, and the others have the time to tell.
+    /// Begins to dispatch a pool that another box may have dispatched before. Adopts the open generations of this box at once,
+    /// and holds grants so that the other boxes have time to report theirs.
     pub(crate) fn begin_dispatching(&self, pool: PoolId) {
         if self.members.borrow().others().is_empty() {
             return;
@@ -66,38 +68,38 @@
         self.adopt_local(self.id, pool, &open);
     }
 
-    /// Whether no other box was heard for so long that its pools are dispatched elsewhere.
+    /// Returns true if this box had contact with peers but lost it for so long that other boxes dispatch its pools.
     pub(crate) fn has_lost_all_peers(&self, now_ms: u64) -> bool {
-        let heard_ms = self.members.borrow().heard_any_ms();
-        heard_ms > 0 && heard_ms + ALONE_MS < now_ms
+        let last_contact_ms = self.members.borrow().heard_any_ms();
+        last_contact_ms > 0 && last_contact_ms + ALONE_MS < now_ms
     }
 
-    /// Whether no other box is heard, or ever was.
+    /// Returns true if this box has no contact with any peer, now or since its start.
     pub(crate) fn has_no_peer_contact(&self, now_ms: u64) -> bool {
-        let heard_ms = self.members.borrow().heard_any_ms();
-        heard_ms == 0 || heard_ms + ALONE_MS < now_ms
+        let last_contact_ms = self.members.borrow().heard_any_ms();
+        last_contact_ms == 0 || last_contact_ms + ALONE_MS < now_ms
     }
 
-    /// Notes that a box was heard. Where roles moved by it, requests that wait ask the box that dispatches their pool now, and
-    /// it is told what runs here.
-    pub(crate) fn handle_peer_contact(&self, met: Upserted, was_cut_off: bool) {
-        if was_cut_off {
+    /// Handles a message from a peer. If roles move because of it, waiting requests go to the new dispatcher of their pool,
+    /// and it receives the open generations of this box.
+    pub(crate) fn handle_peer_contact(&self, upserted: Upserted, had_lost_peers: bool) {
+        if had_lost_peers {
             let now_ms = self.now_ms();
             for (pool, dispatcher) in self.dispatchers.borrow_mut().iter_mut() {
                 dispatcher.hold_grants(now_ms);
-                slog::info!(self.log, "dispatcher was cut off"; "pool" => %pool.model,
+                slog::info!(self.log, "dispatcher was isolated"; "pool" => %pool.model,
                     "grants_from_ms" => dispatcher.grants_from_ms, "now_ms" => now_ms);
             }
         }
-        if was_cut_off || met != Upserted::Known {
+        if had_lost_peers || upserted != Upserted::Known {
             self.peer_suspected.notify_waiters();
             self.generations_changed.notify_one();
         }
     }
 
-    /// Says to all boxes that this one is there: some may still have a pool dispatched by another.
+    /// Announces this box to all others, as some may still use another dispatcher for the pool.
     pub(crate) fn announce_dispatcher(self: &Rc<Self>, pool: PoolId) {
-        slog::info!(self.log, "dispatching again"; "pool" => %pool.model);
+        slog::info!(self.log, "dispatching resumed"; "pool" => %pool.model);
         tell_current(self);
     }
 }
