--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -239,7 +239,7 @@
 
 /// Why a stopping box does not take a request: its last answer may be due after the box is gone.
 fn stop_refusal(relay: &Relay, incoming: &Incoming, way: &Way) -> Option<LocalReply> {
-    let left_ms = relay.stop_left_ms()?;
+    let left_ms = relay.stop_remaining_ms()?;
     let due_in_ms = incoming.due_ms(way.route()).saturating_sub(relay.now_ms());
     (due_in_ms > left_ms).then_some(LocalReply::NotRun {
         why: "this box stops before it would answer",
--- a/components/relay/src/ingress/stopping.rs
+++ b/components/relay/src/ingress/stopping.rs
@@ -40,7 +40,7 @@
     incoming: &Incoming,
     way: &Way,
 ) -> Option<LocalReply> {
-    let left_ms = relay.stop_left_ms()?;
+    let left_ms = relay.stop_remaining_ms()?;
     let generation = incoming.facts.generation.clone().unwrap_or_default();
     let due_in_ms = incoming.due_ms(way.route()).saturating_sub(relay.now_ms());
     let longest_ms = SLOW_BEGIN_MS + u64::from(generation.most_tokens) * SLOW_TOKEN_MS;
--- a/components/relay/src/lib.rs
+++ b/components/relay/src/lib.rs
@@ -1,6 +1,6 @@
-//! One box of a platform's fleet: it takes callers' requests as they come, chooses a target, and passes the
-//! answer on. What must last lies in the platform's store; what a box knows of others it has from there and
-//! from its peers.
+//! One box of a platform's fleet. It accepts callers' requests, chooses a target for each and forwards the answer.
+//! Durable state is kept in the platform's store. A box learns about other boxes and targets from the store and from its
+//! peers.
 
 mod dispatch;
 mod forwarding;
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/mover.rs
@@ -182,9 +182,7 @@
         };
         let cause = match target.belief {
             Belief::Ready if !targets.is_evacuated(target) || self.stays_evacuated => return,
-            Belief::Ready if !self.relay.settings().has(Mechanism::EvacuationMoves) => {
-                return;
-            }
+            Belief::Ready if !self.relay.settings().has(Mechanism::EvacuationMoves) => return,
             Belief::Ready => Cause::Evacuated,
             _ => Cause::Leaves,
         };
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Takes a change of the settings over while the box serves. What each request loads for itself needs nothing here.
+//! Applies changed settings while the box serves. Settings that each request loads itself need no action here.
 
 use crate::state::{Relay, memory_bounds, retry_limit};
 use reload::Snapshot;
@@ -6,46 +6,46 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Takes changes over for as long as the box lives.
+/// Applies each change of the settings until the process ends.
 pub(crate) async fn run_settings(relay: Rc<Relay>) {
-    let mut generations = relay.settings.subscribe();
-    let mut before = relay.settings.load().clone();
-    while generations.changed().await.is_ok() {
-        let now = relay.settings.load().clone();
-        relay.reconfigure(&before, &now);
-        before = now;
+    let mut changes = relay.settings.subscribe();
+    let mut previous = relay.settings.load().clone();
+    while changes.changed().await.is_ok() {
+        let current = relay.settings.load().clone();
+        relay.reconfigure(&previous, &current);
+        previous = current;
     }
 }
 
 impl Relay {
-    fn reconfigure(&self, before: &Arc<Snapshot<FleetFile>>, now: &Arc<Snapshot<FleetFile>>) {
-        if before.peer_keys != now.peer_keys {
-            // Links go on while their key is among the new ones.
-            self.keys.set(&now.peer_keys);
+    fn reconfigure(&self, previous: &Arc<Snapshot<FleetFile>>, current: &Arc<Snapshot<FleetFile>>) {
+        if previous.peer_keys != current.peer_keys {
+            // Links stay open if their key is among the new ones.
+            self.keys.set(&current.peer_keys);
         }
-        if before.store.address != now.store.address {
-            self.store.set_address(now.store.address);
+        if previous.store.address != current.store.address {
+            self.store.set_address(current.store.address);
             self.store_suspected.notify_waiters();
         }
-        if before.limits != now.limits {
-            self.memory.set_bounds(memory_bounds(&now.limits));
+        if previous.limits != current.limits {
+            self.memory.set_bounds(memory_bounds(&current.limits));
         }
-        if before.limits.link_mbps != now.limits.link_mbps {
+        if previous.limits.link_mbps != current.limits.link_mbps {
             let mut members = self.members.borrow_mut();
-            members.set_link(now.limits.link_mbps as u32);
+            members.set_link(current.limits.link_mbps as u32);
         }
-        if before.promises != now.promises {
-            let bound = retry_limit(&now.promises);
+        if previous.promises != current.promises {
+            let limit = retry_limit(&current.promises);
             let mut windows = self.retry_windows.borrow_mut();
             windows
                 .values_mut()
-                .for_each(|window| window.set_limit(bound));
+                .for_each(|window| window.set_limit(limit));
         }
-        if before.without != now.without || before.accounts != now.accounts {
+        if previous.without != current.without || previous.accounts != current.accounts {
             let mut dispatchers = self.dispatchers.borrow_mut();
             dispatchers
                 .values_mut()
-                .for_each(|one| one.reconfigure(now));
+                .for_each(|one| one.reconfigure(current));
         }
     }
 }
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a box.
+//! Start and planned stop of a box.
 
 use crate::dispatch::engine_polls::{run_engine_polls, run_probes};
 use crate::held::Holdings;
@@ -40,27 +40,27 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// How often what rests is looked over.
+/// How often idle channels and expired grants are removed and gauges are set.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a stopping box still takes channels: until the platform has asked twice whether it is ready,
-/// and what it sent before has come.
+/// How long a stopping box still accepts channels: until the platform has polled its readiness twice and the requests sent
+/// before have arrived.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_700);
-/// Left of the time until the process is killed.
+/// Time that is left unused before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long a box with nothing left refuses what is on its way, before it closes.
+/// How long a box with no open requests refuses requests still in transit before it closes.
 const FINAL_REFUSAL_TIME: Duration = Duration::from_millis(80);
 
 /// Why a box did not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address is taken or not ours.
+    /// An address is in use or does not belong to this host.
     #[error("cannot listen on {address} for {what}: {cause}")]
     Listen {
-        /// For whom.
+        /// Who connects to the address.
         what: &'static str,
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         cause: io::Error,
     },
 }
@@ -73,11 +73,11 @@
     })
 }
 
-/// A box that runs.
+/// A running box.
 #[derive(Clone)]
 pub struct Running(Rc<Relay>);
 
-/// Starts a box in the local set that it is called in.
+/// Starts a box on the current `LocalSet`.
 ///
 /// # Errors
 /// [`StartError`].
@@ -94,7 +94,7 @@
             address: peers_address,
             cause,
         })?;
-    // Port 0 asks for any free one: what is told to peers is the address that was got.
+    // Port 0 requests any free port: peers are given the address that was bound.
     identity.callers_address = callers.address().unwrap_or(identity.callers_address);
     identity.readiness_address = readiness.address().unwrap_or(identity.readiness_address);
     identity.peers_address = peers.local_addr().unwrap_or(identity.peers_address);
@@ -174,8 +174,8 @@
     spawn_local(read_records(relay.clone()));
     spawn_local(run_exchanges(relay.clone()));
     spawn_local(relay.clone().run_progress_reports());
-    let looked = relay.clone();
-    spawn_local(async move { looked.run_dispatchers().await });
+    let dispatching = relay.clone();
+    spawn_local(async move { dispatching.run_dispatchers().await });
     spawn_local(run_engine_polls(relay.clone()));
     spawn_local(run_probes(relay.clone()));
     spawn_local(run_settings(relay.clone()));
@@ -196,9 +196,9 @@
         relay.sweep_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
-        let (held_bytes, most_bytes) = relay.memory.fill();
-        metrics::gauge!("shuntpier_held_bytes").set(held_bytes as f64);
-        metrics::gauge!("shuntpier_held_bytes_most").set(most_bytes as f64);
+        let (buffered_bytes, max_bytes) = relay.memory.fill();
+        metrics::gauge!("shuntpier_held_bytes").set(buffered_bytes as f64);
+        metrics::gauge!("shuntpier_held_bytes_most").set(max_bytes as f64);
         metrics::gauge!("shuntpier_rate_limited_targets")
             .set(relay.targets.borrow().rate_limited_count() as f64);
         metrics::gauge!("shuntpier_requests_open").set(relay.in_progress.get() as f64);
@@ -206,23 +206,23 @@
 }
 
 impl Running {
-    /// Who the box is, with the addresses that it listens on.
+    /// Returns the identity of the box, with the addresses that it listens on.
     pub fn identity(&self) -> &FleetIdentity {
         &self.0.identity
     }
 
-    /// The box as operators see it.
+    /// Returns the state of the box for operators.
     pub fn view(&self) -> FleetView {
         self.0.view()
     }
 
-    /// Has all boxes send a withheld request on again. False where nothing is known of it.
+    /// Lets all boxes forward a withheld request again. Returns false if the request is unknown.
     pub fn clear_request(&self, request: RequestKey) -> bool {
         self.0.clear_request(request)
     }
 
-    /// Stops by plan: takes no new channels, answers what is in progress, and returns when nothing is, or
-    /// when the time until the process is killed is nearly over.
+    /// Stops gracefully: accepts no new channels, answers requests in progress, and returns when none is left or when the
+    /// process is about to be killed.
     pub async fn stop(&self) {
         let relay = &self.0;
         let grace = Duration::from_secs_f64(relay.settings().promises.stop_grace_s);
@@ -232,9 +232,9 @@
         relay.stop_until_ms.set(Some(until_ms));
         slog::info!(relay.log, "stopping"; "in_progress" => relay.in_progress.get());
         relay.stopping.cancel();
-        // The others hear at once that this box holds no role any more.
-        let told = relay.clone();
-        spawn_local(async move { greet(&told).await });
+        // Notifies the other boxes at once, so that roles of this box move to them.
+        let notifier = relay.clone();
+        spawn_local(async move { greet(&notifier).await });
         sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         while relay.in_progress.get() > 0 {
             let ended = relay.requests_ended.notified();
@@ -242,7 +242,7 @@
                 break;
             }
         }
-        // From here on nothing is taken: what comes while the process ends is told so, and not sent on.
+        // From here on, arriving requests are refused as not run and are not forwarded.
         relay.stop_until_ms.set(Some(relay.now_ms()));
         sleep(FINAL_REFUSAL_TIME).await;
         slog::info!(relay.log, "stopped"; "in_progress" => relay.in_progress.get());
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -1,4 +1,4 @@
-//! What one box holds. All of it is used by one thread.
+//! The state of one box. A single thread uses all of it.
 
 use crate::dispatch::completion::CompletionEstimator;
 use crate::dispatch::dispatcher::Dispatcher;
@@ -34,112 +34,113 @@
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
 
-/// When a refused caller is told to come back where no time is worked out.
+/// Retry delay given to a refused caller if none is computed.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// One version of the operators' declarations, with the text that peers are given.
+/// One version of the operators' declarations, with the text that is sent to peers.
 #[derive(Debug)]
 pub struct Declared {
-    /// As it is used.
+    /// The decoded declarations.
     pub table: RoutingTable,
-    /// As it lies in the store, packed as peers are given it.
+    /// The text as stored, packed for peers.
     pub packed: Vec<u8>,
 }
 
-/// What one box holds.
+/// The state of one box.
 pub struct Relay {
-    /// Who this box is, for its life.
+    /// Identity of this box, fixed until the process ends.
     pub(crate) identity: FleetIdentity,
     pub(crate) settings: Arc<Live<FleetFile>>,
-    /// The keys by which boxes know each other.
+    /// Keys by which boxes authenticate each other.
     pub(crate) keys: KeyRing,
     pub(crate) log: Logger,
     pub(crate) clock: Clock,
     pub(crate) id: BoxId,
-    /// Drawn at each start of the process.
+    /// Random number of this process, drawn at each start.
     pub(crate) incarnation: u32,
     pub(crate) data_centre: DataCentreId,
     pub(crate) store: FleetStore,
     pub(crate) peers: FleetClients,
     pub(crate) declared: RefCell<Option<Rc<Declared>>>,
-    /// When it was last confirmed that these declarations are the newest.
+    /// When the declarations were last confirmed to be current.
     pub(crate) declared_confirmed_ms: Cell<Option<u64>>,
     pub(crate) evacuation: RefCell<Evacuation>,
     pub(crate) targets: RefCell<TargetBook>,
-    /// Entries of targets that could not be used.
+    /// Target entries in the store that are invalid.
     pub(crate) refused_entries: RefCell<RefusedEntries>,
-    /// Rises with each change of targets that matters.
+    /// Incremented with each change of targets or declarations that can affect waiting requests.
     pub(crate) target_changes: watch::Sender<u64>,
     pub(crate) channels: RefCell<Channels>,
-    /// What is kept for callers and targets that read slowly.
+    /// Budget of memory for buffered requests and answers of slow readers.
     pub(crate) memory: Rc<Holdings>,
-    /// What calls showed of plain targets.
+    /// Statistics of calls to plain targets.
     pub(crate) balance: RefCell<CallBalance>,
-    /// A request at a target ended: a call that waits may find room.
+    /// Notified when a request at a target ends, as a waiting call may then be sent.
     pub(crate) calls_ended: Notify,
     /// Rate limits of targets.
     pub(crate) rate_limits: RateLimits,
-    /// Requests under which targets ended.
+    /// Requests during which targets crashed.
     pub(crate) quarantine: RefCell<Quarantine>,
-    /// Runs that broke off lately.
+    /// Runs that broke off recently.
     pub(crate) broken_runs: RefCell<BrokenRuns>,
     pub(crate) retry_windows: RefCell<HashMap<Box<str>, RetryWindow>>,
     pub(crate) members: RefCell<Members>,
     pub(crate) dispatchers: RefCell<HashMap<PoolId, Dispatcher>>,
     pub(crate) open_generations: RefCell<OpenGenerations>,
-    /// Accounts that have metrics of their own.
+    /// Accounts with metrics of their own.
     pub(crate) account_labels: RefCell<HashSet<String>>,
-    /// How generations came to their ends here.
+    /// Estimates how likely a generation finishes in time.
     pub(crate) completion: RefCell<CompletionEstimator>,
-    /// Notified when a peer did not answer: who dispatches a pool may have changed.
+    /// Notified when a peer did not answer, as the dispatcher of a pool may have changed.
     pub(crate) peer_suspected: Notify,
-    /// Something of [`Relay::open_generations`] is to be told to a dispatcher.
+    /// Notified when [`Relay::open_generations`] has something to report to a dispatcher.
     pub(crate) generations_changed: Notify,
-    /// This box's last call for its own key failed.
+    /// Set while this box's last store call for its own key failed.
     pub(crate) store_failing: Cell<bool>,
-    /// Following targets failed, and has not succeeded since.
+    /// Set when following targets failed, until their view is confirmed again.
     pub(crate) targets_suspected: Cell<bool>,
-    /// Views of the store that this box follows now.
+    /// Views of the store that this box follows.
     pub(crate) following: Cell<Followed>,
-    /// When the store last answered again after trouble.
+    /// When the store last recovered from a failure.
     pub(crate) store_recovered_ms: Cell<Option<u64>>,
-    /// This box begins to follow a view.
+    /// Notified when this box begins to follow a view.
     pub(crate) follow_started: Notify,
-    /// This box asks all engines whether they leave, and when it last heard another one that does.
+    /// Set while this box polls all engines for whether they leave.
     pub(crate) polls_all_engines: Cell<bool>,
+    /// When another box was last observed to poll all engines.
     pub(crate) other_poller_seen_ms: Cell<u64>,
-    /// The boxes that the settings name were asked what they know, or are silent.
+    /// Set once the seed boxes of the settings were queried at the start, whether they answered or not.
     pub(crate) seeds_queried: watch::Sender<bool>,
-    /// The highest era of the store that this box has acted upon; none before it heard of any.
+    /// The highest era of the store that this box has acted upon; none before the first is known.
     pub(crate) observed_era: Cell<Option<u32>>,
-    /// The lease of the key that a former life of this box has left.
+    /// The lease of the key that the previous incarnation of this box has left.
     pub(crate) previous_lease: Cell<Option<Lease>>,
-    /// The keys of all boxes were read since this box started.
+    /// Set once the keys of all boxes were read after the start.
     pub(crate) boxes_read: watch::Sender<bool>,
-    /// Changes of targets that other boxes have and this one lacks.
+    /// Target changes that other boxes have and this one is missing.
     pub(crate) missing_changes: Cell<Lacking>,
-    /// Whole lists of targets that this box has handed out.
+    /// Budget for sending whole lists of targets to peers.
     pub(crate) list_budget: Cell<ListBudget>,
-    /// What another box knows more is being asked for.
+    /// Set while newer state is being fetched from another box.
     pub(crate) fetching: watch::Sender<bool>,
-    /// The store failed: its open watches may hang.
+    /// Notified when the store failed, as its open watches may hang.
     pub(crate) store_suspected: Notify,
     /// Requests that are being read or answered.
     pub(crate) in_progress: Cell<usize>,
     pub(crate) requests_ended: Notify,
-    /// Which boxes this one allows to stand back.
+    /// Which boxes this one allows to shed load.
     pub(crate) load_shedding: RefCell<StandBacks>,
-    /// Until when this box stands back.
+    /// Until when this box sheds load.
     pub(crate) sheds_load_until_ms: Cell<u64>,
-    /// A planned stop has begun.
+    /// Cancelled when a planned stop begins.
     pub(crate) stopping: CancellationToken,
-    /// When a planned stop must be over.
+    /// Deadline of a planned stop.
     pub(crate) stop_until_ms: Cell<Option<u64>>,
-    /// The process ends.
+    /// Cancelled when the process ends.
     pub(crate) closed: CancellationToken,
 }
 
-/// Counts a request as in progress while it lives.
+/// Counts a request as in progress until it is dropped.
 pub(crate) struct InProgress(Rc<Relay>);
 
 impl Drop for InProgress {
@@ -149,7 +150,7 @@
     }
 }
 
-/// What the users were promised of second sends.
+/// Returns the limit on retries from the promises of the settings.
 pub(crate) fn retry_limit(promises: &FleetPromises) -> RetryLimit {
     RetryLimit {
         share: promises.resend_share,
@@ -158,7 +159,7 @@
     }
 }
 
-/// What the box may hold for others.
+/// Returns the bounds on buffered bytes, in total and per account.
 pub(crate) fn memory_bounds(limits: &FleetLimits) -> Bounds {
     Bounds {
         box_bytes: limits.held_bytes(),
@@ -166,7 +167,7 @@
     }
 }
 
-/// The pool of a service's engines.
+/// Returns the pool of a service's engines.
 pub(crate) fn pool_of(service: &str) -> PoolId {
     PoolId {
         model: ModelId::from_name(service),
@@ -188,18 +189,19 @@
         self.stopping.is_cancelled()
     }
 
-    /// How long a stopping box has until it must be over; none where it does not stop.
-    pub(crate) fn stop_left_ms(&self) -> Option<u64> {
+    /// Returns the time until a stopping box must end, or none if it is not stopping.
+    pub(crate) fn stop_remaining_ms(&self) -> Option<u64> {
         let until_ms = self.stop_until_ms.get()?;
         Some(until_ms.saturating_sub(self.now_ms()))
     }
 
-    /// The declarations in force; none before any were read.
+    /// Returns the declarations in force, or none before the first were read.
     pub(crate) fn declared(&self) -> Option<Rc<Declared>> {
         self.declared.borrow().clone()
     }
 
-    /// Whether this box takes new channels: it knows what operators declared and where targets are, and is not overrun.
+    /// Returns true if this box accepts new channels: it knows declarations and targets, and is neither stopping nor shedding
+    /// load.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.is_synced() && !self.stands_back()
     }
@@ -225,7 +227,7 @@
         };
         FleetDigest {
             from: self.card(),
-            table_version: self.declared().map_or(0, |held| held.table.version),
+            table_version: self.declared().map_or(0, |declared| declared.table.version),
             table_age_ms: age_ms(self.declared_confirmed_ms.get()),
             targets_changed_at: targets.changed_at,
             targets_current_to: targets.current_to,
@@ -235,7 +237,7 @@
         }
     }
 
-    /// When it was last confirmed that this box knows the newest of a view.
+    /// Returns when a view was last confirmed to be current.
     pub(crate) fn confirmed_ms(&self, view: View) -> Option<u64> {
         match view {
             View::Declarations => self.declared_confirmed_ms.get(),
@@ -243,15 +245,15 @@
         }
     }
 
-    /// Notes that this box knows the newest of a view now.
+    /// Records that a view is current now.
     pub(crate) fn confirm(&self, view: View) {
         self.confirm_at(view, self.now_ms());
     }
 
-    /// Notes that this box knows what was the newest of a view at a time, by its own clock.
+    /// Records that a view was current at `at_ms` on the clock of this box.
     pub(crate) fn confirm_at(&self, view: View, at_ms: u64) {
-        let before_ms = self.confirmed_ms(view);
-        if before_ms.is_some_and(|before_ms| before_ms >= at_ms) {
+        let confirmed_ms = self.confirmed_ms(view);
+        if confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms >= at_ms) {
             return;
         }
         match view {
@@ -261,28 +263,28 @@
                 self.targets_suspected.set(false);
             }
         }
-        if before_ms.is_none() {
-            // Requests may wait for this since the box started.
+        if confirmed_ms.is_none() {
+            // Requests that arrived since the start may wait for the first confirmation.
             self.target_changes.send_modify(|count| *count += 1);
         }
     }
 
-    /// Puts declarations into force, where they are newer than those in force. Says whether they are.
+    /// Applies declarations if they are newer than those in force. Returns true if they are.
     pub(crate) fn apply_declarations(&self, text: &[u8], source: &'static str) -> bool {
         let table = match platform::decode_routing_table(text) {
             Ok(table) => table,
             Err(error) => {
-                slog::error!(self.log, "declarations not used"; "source" => source,
+                slog::error!(self.log, "declarations rejected"; "source" => source,
                     "error" => %error);
                 return false;
             }
         };
-        let held = self.declared().map_or(0, |held| held.table.version);
-        if table.version <= held {
+        let current = self.declared().map_or(0, |declared| declared.table.version);
+        if table.version <= current {
             return false;
         }
         slog::info!(self.log, "declarations in force"; "version" => table.version,
-            "before" => held, "source" => source, "routes" => table.routes.len(),
+            "before" => current, "source" => source, "routes" => table.routes.len(),
             "accounts" => table.accounts.len());
         metrics::gauge!("shuntpier_table_version").set(table.version as f64);
         *self.declared.borrow_mut() = Some(Rc::new(Declared {
@@ -298,25 +300,25 @@
         self.target_changes.send_modify(|count| *count += 1);
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub(crate) fn settings(&self) -> Guard<Arc<Snapshot<FleetFile>>> {
         self.settings.load()
     }
 
-    /// An answer of this box's own, as its caller is told it.
-    pub(crate) fn caller_reply(&self, own: LocalReply) -> LocalReply {
-        match own {
+    /// Returns a local reply as it is sent to the caller, with a fixed retry delay if computed delays are off.
+    pub(crate) fn caller_reply(&self, reply: LocalReply) -> LocalReply {
+        match reply {
             LocalReply::NotRun { why, .. } if !self.settings().has(Mechanism::TimesToComeBack) => {
                 LocalReply::NotRun {
                     why,
                     retry_after_ms: RETRY_AFTER_MS,
                 }
             }
-            own => own,
+            reply => reply,
         }
     }
 
-    /// Second sends to a service, counted over the window.
+    /// Calls `act` with the retry window of a service.
     pub(crate) fn with_retry_window<T>(
         &self,
         service: &str,
@@ -324,24 +326,25 @@
     ) -> T {
         let mut windows = self.retry_windows.borrow_mut();
         if !windows.contains_key(service) {
-            let bound = retry_limit(&self.settings().promises);
-            windows.insert(service.into(), RetryWindow::new(bound));
+            let limit = retry_limit(&self.settings().promises);
+            windows.insert(service.into(), RetryWindow::new(limit));
         }
         let now_ms = self.now_ms();
         match windows.get_mut(service) {
             Some(window) => act(window, now_ms),
-            None => unreachable!("the window was just made"),
+            None => unreachable!("the window was just inserted"),
         }
     }
 
-    /// Takes one second send to a service from the budget.
+    /// Takes one retry to a service from the budget. Returns false if the budget is spent.
     pub(crate) fn try_take_retry(&self, service: &str) -> bool {
-        let boxes = match self.settings().has(Mechanism::BudgetShares) {
+        let budget_share = match self.settings().has(Mechanism::BudgetShares) {
             true => self.members.borrow().budget_share(),
             false => 1,
         };
-        let taken =
-            self.with_retry_window(service, |window, now_ms| window.try_take(boxes, now_ms));
+        let taken = self.with_retry_window(service, |window, now_ms| {
+            window.try_take(budget_share, now_ms)
+        });
         let name = match taken {
             true => "shuntpier_resends",
             false => "shuntpier_resends_denied",
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -1,4 +1,4 @@
-//! The box as operators see it.
+//! Builds the view of a box that operators are status.
 
 use crate::forwarding::balance::{CallBalance, route_key};
 use crate::state::{Relay, pool_of};
@@ -23,7 +23,7 @@
             data_centre: self.identity.data_centre.clone(),
             ready: self.is_ready(),
             stopping: self.is_stopping(),
-            declarations: self.declared().map_or(0, |held| held.table.version),
+            declarations: self.declared().map_or(0, |declared| declared.table.version),
             store_era: self.observed_era.get(),
             boxes: self.members.borrow().others().len() + 1,
             follows_store: self.following.get().any(),
@@ -49,22 +49,22 @@
         evacuated.into_iter().map(view).collect()
     }
 
-    /// The pace of an engine, where this box dispatches its pool.
+    /// Returns the pace of an engine if this box dispatches its pool.
     fn pace_view(&self, target: &Target, now_ms: u64) -> Option<TargetPaceView> {
         let dispatchers = self.dispatchers.borrow();
         let dispatcher = dispatchers.get(&pool_of(&target.entry.service))?;
-        let shown = dispatcher.pool.pace_status(target.id, now_ms)?;
+        let status = dispatcher.pool.pace_status(target.id, now_ms)?;
         Some(TargetPaceView {
-            speed: shown.speed,
-            event_ms: shown.event_ms,
-            beside_ms: shown.beside_ms,
-            disturbed_share: shown.disturbed_share,
-            disturbed_strength: shown.disturbed_strength,
-            disturbed_ms: shown.disturbed_ms,
-            error_share: shown.error_share,
-            streams: shown.streams,
-            streams_share: shown.streams_share,
-            spared: shown.spared,
+            speed: status.speed,
+            event_ms: status.event_ms,
+            beside_ms: status.beside_ms,
+            disturbed_share: status.disturbed_share,
+            disturbed_strength: status.disturbed_strength,
+            disturbed_ms: status.disturbed_ms,
+            error_share: status.error_share,
+            streams: status.streams,
+            streams_share: status.streams_share,
+            spared: status.spared,
         })
     }
 
@@ -96,28 +96,28 @@
         slot: TargetSlot,
         target: &Target,
     ) -> Option<TargetCallsView> {
-        let record = balance.known(slot)?;
+        let stats = balance.known(slot)?;
         let now_ms = self.now_ms();
         Some(TargetCallsView {
-            pace_share: record.latency.ratio(now_ms),
-            slowness_share: record.slowness.latency_ratio(now_ms),
+            pace_share: stats.latency.ratio(now_ms),
+            slowness_share: stats.slowness.latency_ratio(now_ms),
             fullness: target.fullness(now_ms),
-            limit: record.limit.max_calls(),
-            spared: record.suspicion.is_deprioritized(now_ms),
-            doubted: record.suspicion.is_suspected(now_ms),
+            limit: stats.limit.max_calls(),
+            spared: stats.suspicion.is_deprioritized(now_ms),
+            doubted: stats.suspicion.is_suspected(now_ms),
             passed_over: target.suspicion.is_ejected(now_ms),
-            failed_by_route: self.failed_by_route(record),
+            failed_by_route: self.failed_by_route(stats),
         })
     }
 
-    /// Shares of failures, with the names of the routes that are still declared.
-    fn failed_by_route(&self, record: &TargetStats) -> Vec<(String, f64)> {
+    /// Returns the share of failures by route, for routes that are still declared.
+    fn failed_by_route(&self, stats: &TargetStats) -> Vec<(String, f64)> {
         let Some(declared) = self.declared() else {
             return Vec::new();
         };
         let routes = &declared.table.routes;
         let name = |key: u64| routes.iter().find(|route| route_key(route) == key);
         let share = |(key, share): (u64, f64)| Some((name(key)?.name.to_string(), share));
-        record.route_failures.rates().filter_map(share).collect()
+        stats.route_failures.rates().filter_map(share).collect()
     }
 }
--- a/components/relay/tests/events.rs
+++ b/components/relay/tests/events.rs
@@ -1,10 +1,10 @@
-//! Events are passed on whole.
+//! Server-sent events are forwarded only as whole events.
 
 use proptest::prelude::*;
 use relay::EventSplitter;
 
 #[test]
-fn holds_an_event_back_until_it_is_whole() {
+fn partial_event_is_buffered_until_complete() {
     let mut splitter = EventSplitter::default();
     let first = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
     assert_eq!(first.bytes, b"id: 1\ndata: a\n\n");
@@ -18,12 +18,12 @@
 
 proptest! {
     #[test]
-    fn gives_out_the_same_events_however_they_are_cut(cuts in prop::collection::vec(1usize..9, 1..60)) {
+    fn output_is_independent_of_chunk_boundaries(chunk_lengths in prop::collection::vec(1usize..9, 1..60)) {
         let text: Vec<u8> = (0..20).flat_map(|n| format!("id: {n}\ndata: {}\n\n", "x".repeat(n)).into_bytes()).collect();
         let mut splitter = EventSplitter::default();
         let (mut out, mut count, mut at) = (Vec::new(), 0, 0);
-        for cut in cuts.iter().cycle() {
-            let end = (at + cut).min(text.len());
+        for chunk_length in chunk_lengths.iter().cycle() {
+            let end = (at + chunk_length).min(text.len());
             let events = splitter.push(&text[at..end]).unwrap();
             out.extend_from_slice(&events.bytes);
             count += events.count;
--- a/components/relay/tests/targets.rs
+++ b/components/relay/tests/targets.rs
@@ -1,11 +1,11 @@
-//! What a box believes of targets, one life at a time.
+//! The state that a box keeps of targets, per incarnation.
 
 use prelude::{DataCentreId, Version};
 use relay::{Belief, Change, ColdRate, TargetBook};
 use routing::{TargetEntry, TargetLife, TargetPhase};
 
-/// A version of the first era.
-fn at(revision: u64) -> Version {
+/// Returns a version in the first era of the store.
+fn version(revision: u64) -> Version {
     Version::new(0, revision)
 }
 
@@ -19,167 +19,235 @@
         slots: 4,
         phase,
         cold_left_ms: 0,
-        version: at(revision),
+        version: version(revision),
     }
 }
 
-fn life(instance: &str) -> TargetLife {
+fn incarnation(instance: &str) -> TargetLife {
     TargetLife {
         instance: instance.into(),
         born_ms: None,
     }
 }
 
-/// A service whose cold targets bear as many requests as come.
-const WARM: ColdRate = ColdRate {
+/// A service without a rate limit for cold targets.
+const UNLIMITED_COLD_RATE: ColdRate = ColdRate {
     rate_per_s: None,
     boxes: 1,
 };
 
-fn near() -> DataCentreId {
+fn local_data_centre() -> DataCentreId {
     DataCentreId::from_name("hall")
 }
 
 #[test]
-fn a_life_that_leaves_never_takes_work_again() {
-    let mut book = TargetBook::default();
+fn leaving_incarnation_never_accepts_work_again() {
+    let mut registry = TargetBook::default();
     assert!(matches!(
-        book.listed(entry("a", TargetPhase::Ready, 1), 0),
+        registry.listed(entry("a", TargetPhase::Ready, 1), 0),
         Some(Change::Came(_))
     ));
     assert!(matches!(
-        book.listed(entry("a", TargetPhase::Leaving, 2), 0),
+        registry.listed(entry("a", TargetPhase::Leaving, 2), 0),
         Some(Change::Leaves(_))
     ));
-    assert_eq!(book.listed(entry("a", TargetPhase::Ready, 3), 0), None);
-    assert_eq!(book.choose("records", near(), &[], WARM, 0), None);
+    assert_eq!(registry.listed(entry("a", TargetPhase::Ready, 3), 0), None);
+    assert_eq!(
+        registry.choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0),
+        None
+    );
 }
 
 #[test]
-fn an_older_word_changes_nothing() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 5), 0);
-    assert_eq!(book.listed(entry("a", TargetPhase::Leaving, 4), 0), None);
-    assert_eq!(book.unlisted("a", at(4)), None);
-    assert!(book.choose("records", near(), &[], WARM, 0).is_some());
+fn older_versions_are_ignored() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 5), 0);
+    assert_eq!(
+        registry.listed(entry("a", TargetPhase::Leaving, 4), 0),
+        None
+    );
+    assert_eq!(registry.unlisted("a", version(4)), None);
+    assert!(
+        registry
+            .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+            .is_some()
+    );
 }
 
 #[test]
-fn an_entry_that_is_missing_as_the_store_comes_back_takes_work_until_its_time_is_over() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 2), 0);
-    assert!(book.replace(Vec::new(), at(5), Some(2_000), 0).is_empty());
-    assert!(book.choose("records", near(), &[], WARM, 0).is_some());
-    assert!(book.still_missing(1_999).is_empty());
-    book.listed(entry("a", TargetPhase::Ready, 6), 1_000);
-    assert_eq!(book.still_missing(2_000), [("b".into(), at(5))]);
-    assert!(matches!(book.unlisted("b", at(5)), Some(Change::Went(_))));
-    assert!(book.still_missing(9_000).is_empty());
+fn entry_missing_after_store_recovery_accepts_work_until_it_expires() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    registry.listed(entry("b", TargetPhase::Ready, 2), 0);
+    assert!(
+        registry
+            .replace(Vec::new(), version(5), Some(2_000), 0)
+            .is_empty()
+    );
+    assert!(
+        registry
+            .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+            .is_some()
+    );
+    assert!(registry.still_missing(1_999).is_empty());
+    registry.listed(entry("a", TargetPhase::Ready, 6), 1_000);
+    assert_eq!(registry.still_missing(2_000), [("b".into(), version(5))]);
+    assert!(matches!(
+        registry.unlisted("b", version(5)),
+        Some(Change::Went(_))
+    ));
+    assert!(registry.still_missing(9_000).is_empty());
 }
 
 #[test]
-fn a_target_that_leaves_is_gone_at_once_where_its_entry_is_missing() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Leaving, 1), 0);
-    assert_eq!(book.replace(Vec::new(), at(5), Some(2_000), 0).len(), 1);
+fn leaving_target_is_removed_at_once_if_its_entry_is_missing() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Leaving, 1), 0);
+    assert_eq!(
+        registry
+            .replace(Vec::new(), version(5), Some(2_000), 0)
+            .len(),
+        1
+    );
 }
 
 #[test]
-fn an_entry_that_vanished_may_come_back() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(slot);
+fn removed_entry_may_return() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let slot = registry
+        .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+        .unwrap();
+    registry.opened(slot);
     assert_eq!(
-        book.replace(Vec::new(), at(3), None, 0),
+        registry.replace(Vec::new(), version(3), None, 0),
         [Change::Went(slot)]
     );
-    assert_eq!(book.get(slot).unwrap().belief, Belief::Gone);
+    assert_eq!(registry.get(slot).unwrap().belief, Belief::Gone);
     assert_eq!(
-        book.listed(entry("a", TargetPhase::Ready, 4), 0),
+        registry.listed(entry("a", TargetPhase::Ready, 4), 0),
         Some(Change::Came(slot))
     );
 }
 
 #[test]
-fn a_life_that_is_gone_is_kept_while_it_serves_something() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(slot);
-    book.unlisted("a", at(2));
-    book.sweep(slot);
-    assert!(book.get(slot).is_some());
-    book.closed(slot);
-    assert!(book.get(slot).is_none());
+fn removed_incarnation_is_kept_while_it_has_open_requests() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let slot = registry
+        .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+        .unwrap();
+    registry.opened(slot);
+    registry.unlisted("a", version(2));
+    registry.sweep(slot);
+    assert!(registry.get(slot).is_some());
+    registry.closed(slot);
+    assert!(registry.get(slot).is_none());
 }
 
 #[test]
-fn a_peers_word_that_a_life_leaves_is_believed() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 1), 0);
-    assert_eq!(book.told_leaving(&[life("a"), life("unknown")]).len(), 1);
-    assert_eq!(book.leaving(), [life("a")]);
-    let slot = book.choose("records", near(), &[], WARM, 0).unwrap();
-    assert_eq!(&*book.get(slot).unwrap().entry.instance, "b");
+fn peer_report_that_an_incarnation_leaves_is_applied() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    registry.listed(entry("b", TargetPhase::Ready, 1), 0);
+    assert_eq!(
+        registry
+            .told_leaving(&[incarnation("a"), incarnation("unknown")])
+            .len(),
+        1
+    );
+    assert_eq!(registry.leaving(), [incarnation("a")]);
+    let slot = registry
+        .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+        .unwrap();
+    assert_eq!(&*registry.get(slot).unwrap().entry.instance, "b");
 }
 
 #[test]
-fn the_emptier_target_is_chosen_and_a_failing_one_is_passed_over() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.listed(entry("b", TargetPhase::Ready, 1), 0);
-    let first = book.choose("records", near(), &[], WARM, 0).unwrap();
-    book.opened(first);
-    let second = book.choose("records", near(), &[], WARM, 0).unwrap();
+fn less_loaded_target_is_preferred_and_failing_target_is_avoided() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    registry.listed(entry("b", TargetPhase::Ready, 1), 0);
+    let first = registry
+        .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+        .unwrap();
+    registry.opened(first);
+    let second = registry
+        .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+        .unwrap();
     assert_ne!(first, second);
     for at_ms in 0..3 {
-        book.get_mut(second)
+        registry
+            .get_mut(second)
             .unwrap()
             .suspicion
             .record_failure(at_ms);
     }
-    assert_eq!(book.choose("records", near(), &[], WARM, 10), Some(first));
     assert_eq!(
-        book.choose("records", near(), &[first], WARM, 10),
+        registry.choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 10),
+        Some(first)
+    );
+    assert_eq!(
+        registry.choose(
+            "records",
+            local_data_centre(),
+            &[first],
+            UNLIMITED_COLD_RATE,
+            10
+        ),
         Some(second)
     );
 }
 
 #[test]
-fn a_target_that_turns_cold_gets_what_it_bears() {
+fn target_that_turns_cold_gets_requests_at_its_cold_rate() {
     let cold = ColdRate {
         rate_per_s: Some(10.0),
         boxes: 1,
     };
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    let slot = book.choose("records", near(), &[], cold, 0).unwrap();
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    let slot = registry
+        .choose("records", local_data_centre(), &[], cold, 0)
+        .unwrap();
     let turned = TargetEntry {
         cold_left_ms: 4_000,
         ..entry("a", TargetPhase::Ready, 2)
     };
-    assert_eq!(book.listed(turned, 0), Some(Change::Cold(slot)));
+    assert_eq!(registry.listed(turned, 0), Some(Change::Cold(slot)));
     let mut sent = 0;
     for now_ms in (0..2_000).step_by(5) {
-        if let Some(slot) = book.choose("records", near(), &[], cold, now_ms) {
-            book.chosen(slot, cold, now_ms);
+        if let Some(slot) = registry.choose("records", local_data_centre(), &[], cold, now_ms) {
+            registry.chosen(slot, cold, now_ms);
             sent += 1;
         }
     }
     assert!((10..=20).contains(&sent), "{sent} in two seconds");
-    assert!(book.choose("records", near(), &[], cold, 4_001).is_some());
-    assert!(book.choose("records", near(), &[], cold, 4_001).is_some());
+    assert!(
+        registry
+            .choose("records", local_data_centre(), &[], cold, 4_001)
+            .is_some()
+    );
+    assert!(
+        registry
+            .choose("records", local_data_centre(), &[], cold, 4_001)
+            .is_some()
+    );
 }
 
 #[test]
-fn an_evacuated_target_is_never_chosen() {
-    let mut book = TargetBook::default();
-    book.listed(entry("a", TargetPhase::Ready, 1), 0);
-    book.evacuate([near()].into());
-    assert_eq!(book.choose("records", near(), &[], WARM, 0), None);
-    book.evacuate([].into());
-    assert!(book.choose("records", near(), &[], WARM, 0).is_some());
+fn evacuated_target_is_never_chosen() {
+    let mut registry = TargetBook::default();
+    registry.listed(entry("a", TargetPhase::Ready, 1), 0);
+    registry.evacuate([local_data_centre()].into());
+    assert_eq!(
+        registry.choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0),
+        None
+    );
+    registry.evacuate([].into());
+    assert!(
+        registry
+            .choose("records", local_data_centre(), &[], UNLIMITED_COLD_RATE, 0)
+            .is_some()
+    );
 }
