--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -71,7 +71,7 @@
                     target.outlier.record_success();
                 }
             }
-            TargetOutcome::Failed if self.file().has(Mechanism::Suspicion) => {
+            TargetOutcome::Failed if self.settings().has(Mechanism::Suspicion) => {
                 targets.record_failure(slot, now_ms);
             }
             TargetOutcome::Failed
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -89,7 +89,7 @@
 }
 
 async fn serve_request(relay: &Rc<Relay>, channel: &mut Channel) -> After {
-    let _in_progress = relay.begin();
+    let _in_progress = relay.track_request();
     let came_ms = relay.now_ms();
     let limits = limits(relay);
     let head = match read_head(channel, limits).await {
@@ -97,7 +97,7 @@
         Ok(None) => return After::Drop,
         Err(own) => return refuse(relay, channel, own, None).await,
     };
-    let mut held = Held::new(&relay.held, None);
+    let mut held = Held::new(&relay.memory, None);
     let body = match read_body(channel, &head, relay, limits, &mut held).await {
         Ok(body) => body,
         Err(Some(own)) => return refuse(relay, channel, own, None).await,
@@ -239,7 +239,7 @@
 
 /// Why a stopping box does not take a request: its last answer may be due after the box is gone.
 fn stop_refusal(relay: &Relay, incoming: &Incoming, way: &Way) -> Option<LocalReply> {
-    let left_ms = relay.stop_left_ms()?;
+    let left_ms = relay.stop_remaining_ms()?;
     let due_in_ms = incoming.due_ms(way.route()).saturating_sub(relay.now_ms());
     (due_in_ms > left_ms).then_some(LocalReply::NotRun {
         why: "this box stops before it would answer",
@@ -256,7 +256,7 @@
 ) -> After {
     let closes = closes || relay.sheds_channel();
     let (mut head, body, held) = reply.parts(closes);
-    let held = held.unwrap_or_else(|| Rc::new(Held::new(&relay.held, None)));
+    let held = held.unwrap_or_else(|| Rc::new(Held::new(&relay.memory, None)));
     let joined = body.len() <= JOINED_BYTES_MAX;
     if joined {
         head.extend_from_slice(&body);
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -1,6 +1,6 @@
-//! Starts and stops a box.
+//! Start and planned stop of a box.
 
-use crate::dispatch::reports::{run_reports, run_trials};
+use crate::dispatch::engine_polls::{run_engine_polls, run_probes};
 use crate::held::Holdings;
 use crate::ingress::accept;
 use crate::ingress::overrun::run_overrun;
@@ -12,7 +12,7 @@
 use crate::quarantine::record::read_records;
 use crate::rate_limit::state::RateLimits;
 use crate::reconfigure::run_settings;
-use crate::state::{Relay, held_bounds};
+use crate::state::{Relay, memory_bounds};
 use crate::watch::election::View;
 use crate::watch::era::run_eras;
 use crate::watch::evacuation::run_evacuation;
@@ -40,27 +40,27 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// How often what rests is looked over.
-const SWEEP_EACH: Duration = Duration::from_millis(1_000);
-/// How long a stopping box still takes channels: until the platform has asked twice whether it is ready,
-/// and what it sent before has come.
-const LAST_CHANNELS: Duration = Duration::from_millis(2_700);
-/// Left of the time until the process is killed.
+/// How often idle channels and expired grants are removed and gauges are set.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long a stopping box still accepts channels: until the platform has polled its readiness twice and the requests sent
+/// before have arrived.
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_700);
+/// Time that is left unused before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long a box with nothing left refuses what is on its way, before it closes.
-const LAST_REFUSALS: Duration = Duration::from_millis(80);
+/// How long a box with no open requests refuses requests still in transit before it closes.
+const FINAL_REFUSAL_TIME: Duration = Duration::from_millis(80);
 
 /// Why a box did not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address is taken or not ours.
+    /// An address is in use or does not belong to this host.
     #[error("cannot listen on {address} for {what}: {cause}")]
     Listen {
-        /// For whom.
+        /// Who connects to the address.
         what: &'static str,
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         cause: io::Error,
     },
 }
@@ -73,11 +73,11 @@
     })
 }
 
-/// A box that runs.
+/// A running box.
 #[derive(Clone)]
 pub struct Running(Rc<Relay>);
 
-/// Starts a box in the local set that it is called in.
+/// Starts a box on the current `LocalSet`.
 ///
 /// # Errors
 /// [`StartError`].
@@ -94,7 +94,7 @@
             address: peers_address,
             cause,
         })?;
-    // Port 0 asks for any free one: what is told to peers is the address that was got.
+    // Port 0 requests any free port: peers are given the address that was bound.
     identity.callers_address = callers.address().unwrap_or(identity.callers_address);
     identity.readiness_address = readiness.address().unwrap_or(identity.readiness_address);
     identity.peers_address = peers.local_addr().unwrap_or(identity.peers_address);
@@ -106,7 +106,7 @@
         log: log.new(slog::o!("box" => identity.name.clone())),
         clock: Clock::new(),
         id,
-        life: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
+        incarnation: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
         data_centre: DataCentreId::from_name(&identity.data_centre),
         store: FleetStore::new(file.store.address),
         peers: FleetClients::new(keys.clone(), traffic.clone()),
@@ -117,39 +117,39 @@
         refused_entries: RefCell::default(),
         target_changes: watch::Sender::new(0),
         channels: RefCell::default(),
-        held: Holdings::new(held_bounds(&file.limits)),
+        memory: Holdings::new(memory_bounds(&file.limits)),
         balance: RefCell::default(),
         calls_ended: Notify::new(),
         rate_limits: RateLimits::default(),
         quarantine: RefCell::default(),
         broken_runs: RefCell::default(),
-        resends: RefCell::default(),
+        retry_windows: RefCell::default(),
         members: RefCell::new(Members::new(id, file.limits.link_mbps as u32)),
         dispatchers: RefCell::new(HashMap::new()),
         open_generations: RefCell::default(),
         account_labels: RefCell::default(),
         completion: RefCell::default(),
-        peer_doubted: Notify::new(),
+        peer_suspected: Notify::new(),
         generations_changed: Notify::new(),
-        store_fails: Cell::new(false),
-        targets_doubted: Cell::new(false),
+        store_failing: Cell::new(false),
+        targets_suspected: Cell::new(false),
         following: Cell::default(),
-        store_back_ms: Cell::new(None),
-        begins_to_follow: Notify::new(),
-        asking: Cell::new(false),
-        heard_asker_ms: Cell::new(0),
-        seeds_asked: watch::Sender::new(false),
-        era_seen: Cell::new(None),
-        former_lease: Cell::new(None),
+        store_recovered_ms: Cell::new(None),
+        follow_started: Notify::new(),
+        polls_all_engines: Cell::new(false),
+        other_poller_seen_ms: Cell::new(0),
+        seeds_queried: watch::Sender::new(false),
+        observed_era: Cell::new(None),
+        previous_lease: Cell::new(None),
         boxes_read: watch::Sender::new(false),
-        lacking: Cell::default(),
-        lists_told: Cell::default(),
+        missing_changes: Cell::default(),
+        list_budget: Cell::default(),
         fetching: watch::Sender::new(false),
-        store_doubted: Notify::new(),
+        store_suspected: Notify::new(),
         in_progress: Cell::new(0),
         requests_ended: Notify::new(),
-        stand_backs: RefCell::default(),
-        stands_back_until_ms: Cell::new(0),
+        load_shedding: RefCell::default(),
+        sheds_load_until_ms: Cell::new(0),
         stopping: CancellationToken::new(),
         stop_until_ms: Cell::new(None),
         closed: CancellationToken::new(),
@@ -173,31 +173,32 @@
     spawn_local(keep_registration(relay.clone()));
     spawn_local(read_records(relay.clone()));
     spawn_local(run_exchanges(relay.clone()));
-    spawn_local(relay.clone().run_telling());
-    let looked = relay.clone();
-    spawn_local(async move { looked.run_dispatchers().await });
-    spawn_local(run_reports(relay.clone()));
-    spawn_local(run_trials(relay.clone()));
+    spawn_local(relay.clone().run_progress_reports());
+    let dispatching = relay.clone();
+    spawn_local(async move { dispatching.run_dispatchers().await });
+    spawn_local(run_engine_polls(relay.clone()));
+    spawn_local(run_probes(relay.clone()));
     spawn_local(run_settings(relay.clone()));
     spawn_local(run_evacuation(relay.clone()));
     spawn_local(run_sweeps(relay.clone()));
     spawn_local(run_overrun(relay.clone()));
     slog::info!(relay.log, "box started"; "callers" => %relay.identity.callers_address,
-        "peers" => %peers_address, "store" => %relay.file().store.address, "life" => relay.life);
+        "peers" => %peers_address, "store" => %relay.settings().store.address,
+        "life" => relay.incarnation);
     Ok(Running(relay))
 }
 
 async fn run_sweeps(relay: Rc<Relay>) {
     loop {
-        sleep(SWEEP_EACH).await;
+        sleep(SWEEP_INTERVAL).await;
         let now_ms = relay.now_ms();
         relay.channels.borrow_mut().sweep(now_ms);
         relay.sweep_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
-        let (held_bytes, most_bytes) = relay.held.fill();
-        metrics::gauge!("shuntpier_held_bytes").set(held_bytes as f64);
-        metrics::gauge!("shuntpier_held_bytes_most").set(most_bytes as f64);
+        let (buffered_bytes, max_bytes) = relay.memory.fill();
+        metrics::gauge!("shuntpier_held_bytes").set(buffered_bytes as f64);
+        metrics::gauge!("shuntpier_held_bytes_most").set(max_bytes as f64);
         metrics::gauge!("shuntpier_rate_limited_targets")
             .set(relay.targets.borrow().rate_limited_count() as f64);
         metrics::gauge!("shuntpier_requests_open").set(relay.in_progress.get() as f64);
@@ -205,45 +206,45 @@
 }
 
 impl Running {
-    /// Who the box is, with the addresses that it listens on.
+    /// Returns the identity of the box, with the addresses that it listens on.
     pub fn identity(&self) -> &FleetIdentity {
         &self.0.identity
     }
 
-    /// The box as operators see it.
+    /// Returns the state of the box for operators.
     pub fn view(&self) -> FleetView {
         self.0.view()
     }
 
-    /// Has all boxes send a withheld request on again. False where nothing is known of it.
+    /// Lets all boxes forward a withheld request again. Returns false if the request is unknown.
     pub fn clear_request(&self, request: RequestKey) -> bool {
         self.0.clear_request(request)
     }
 
-    /// Stops by plan: takes no new channels, answers what is in progress, and returns when nothing is, or
-    /// when the time until the process is killed is nearly over.
+    /// Stops gracefully: accepts no new channels, answers requests in progress, and returns when none is left or when the
+    /// process is about to be killed.
     pub async fn stop(&self) {
         let relay = &self.0;
-        let grace = Duration::from_secs_f64(relay.file().promises.stop_grace_s);
+        let grace = Duration::from_secs_f64(relay.settings().promises.stop_grace_s);
         let time = grace.saturating_sub(STOP_MARGIN);
         let until = Instant::now() + time;
         let until_ms = relay.now_ms() + time.as_millis() as u64;
         relay.stop_until_ms.set(Some(until_ms));
         slog::info!(relay.log, "stopping"; "in_progress" => relay.in_progress.get());
         relay.stopping.cancel();
-        // The others hear at once that this box holds no role any more.
-        let told = relay.clone();
-        spawn_local(async move { greet(&told).await });
-        sleep(LAST_CHANNELS.min(grace / 2)).await;
+        // Notifies the other boxes at once, so that roles of this box move to them.
+        let notifier = relay.clone();
+        spawn_local(async move { greet(&notifier).await });
+        sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         while relay.in_progress.get() > 0 {
             let ended = relay.requests_ended.notified();
             if timeout_at(until, ended).await.is_err() {
                 break;
             }
         }
-        // From here on nothing is taken: what comes while the process ends is told so, and not sent on.
+        // From here on, arriving requests are refused as not run and are not forwarded.
         relay.stop_until_ms.set(Some(relay.now_ms()));
-        sleep(LAST_REFUSALS).await;
+        sleep(FINAL_REFUSAL_TIME).await;
         slog::info!(relay.log, "stopped"; "in_progress" => relay.in_progress.get());
         relay.closed.cancel();
         tokio::task::yield_now().await;
--- a/components/relay/src/watch/election.rs
+++ b/components/relay/src/watch/election.rs
@@ -158,7 +158,7 @@
 
 /// Whether another box polls all engines for their leaving.
 pub(crate) fn another_box_polls(relay: &Relay) -> bool {
-    let last_seen_ms = relay.heard_asker_ms.get();
+    let last_seen_ms = relay.other_poller_seen_ms.get();
     last_seen_ms > 0 && last_seen_ms + POLLER_TIMEOUT_MS > relay.now_ms()
 }
 
@@ -220,7 +220,7 @@
 impl FollowGuard {
     pub(crate) fn begin(relay: &Rc<Relay>, view: View) -> Self {
         relay.set_following(view, true);
-        relay.begins_to_follow.notify_one();
+        relay.follow_started.notify_one();
         Self {
             relay: relay.clone(),
             view,
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -88,13 +88,13 @@
 
     /// Records the era of a message or an answer.
     pub(crate) fn observe_era(self: &Rc<Self>, era: u32, source: EraSource) {
-        let before = self.era_seen.get();
+        let before = self.observed_era.get();
         // A peer that knows no era reports 0.
         let has_era = source == EraSource::Store || era > 0;
         if !has_era || before.is_some_and(|before| era <= before) {
             return;
         }
-        self.era_seen.set(Some(era));
+        self.observed_era.set(Some(era));
         self.store.observe_era(era);
         metrics::gauge!("shuntpier_store_era").set(f64::from(era));
         if let Some(before) = before {
@@ -122,7 +122,7 @@
             "kept_withheld_requests" => withheld);
         metrics::counter!("shuntpier_store_era_rises").increment(1);
         // Open watches refer to a history that no longer exists.
-        self.store_doubted.notify_waiters();
+        self.store_suspected.notify_waiters();
         tokio::task::spawn_local(settle(self.clone(), era, settle_ms));
         tokio::task::spawn_local(rewrite_records(self.clone()));
     }
@@ -131,17 +131,17 @@
 /// Restarts this box's reads and watches once the store has settled.
 async fn settle(relay: Rc<Relay>, era: u32, settle_ms: u64) {
     sleep(Duration::from_millis(settle_ms)).await;
-    if relay.era_seen.get() != Some(era) {
+    if relay.observed_era.get() != Some(era) {
         return;
     }
     slog::info!(relay.log, "store era settled"; "era" => era);
-    relay.store_doubted.notify_waiters();
+    relay.store_suspected.notify_waiters();
 }
 
 /// Writes this box's key and the records that it knows to the store again.
 async fn rewrite_records(relay: Rc<Relay>) {
     sleep(REWRITE_WINDOW.mul_f64(rand::random())).await;
-    relay.begins_to_follow.notify_one();
+    relay.follow_started.notify_one();
     relay.keep_records_again();
 }
 
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -57,12 +57,12 @@
         }
         let result = tokio::select! {
             result = follow_once(&relay, view, &mut backoff) => result,
-            () = relay.store_doubted.notified() =>
+            () = relay.store_suspected.notified() =>
                 Err(StoreError::NotDone("the store is in doubt".into())),
         };
         if let Err(error) = result {
             if view == View::Targets {
-                relay.targets_doubted.set(true);
+                relay.targets_suspected.set(true);
             }
             metrics::counter!("shuntpier_store_failures", "of" => view.name()).increment(1);
             slog::info!(relay.log, "store watch failed"; "view" => view.name(), "error" => %error);
@@ -200,7 +200,7 @@
 pub(crate) async fn run_poll_announcements(relay: Rc<Relay>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
-        if relay.asking.get() && !relay.following.get().any() {
+        if relay.polls_all_engines.get() && !relay.following.get().any() {
             tell_current(&relay);
         }
     }
@@ -238,7 +238,7 @@
         View::Declarations => {
             apply_evacuations(relay, items, version);
             let config = items.iter().find(|item| item.key == CONFIG_KEY);
-            match config.is_some_and(|item| relay.declare(&item.value, "store")) {
+            match config.is_some_and(|item| relay.apply_declarations(&item.value, "store")) {
                 true => ViewChange::Table,
                 false => ViewChange::Nothing,
             }
@@ -253,13 +253,13 @@
     let confirmed_ms = relay.confirmed_ms(View::Targets);
     let had_outage = confirmed_ms.is_some_and(|confirmed_ms| confirmed_ms + OUTAGE_MIN_MS < now_ms);
     if had_outage {
-        relay.store_back_ms.set(Some(now_ms));
+        relay.store_recovered_ms.set(Some(now_ms));
     }
 }
 
 /// End of the grace period for missing entries; `None` if the store had no recent outage.
 fn missing_until_ms(relay: &Relay) -> Option<u64> {
-    let until_ms = relay.store_back_ms.get()? + MISSING_GRACE_MS;
+    let until_ms = relay.store_recovered_ms.get()? + MISSING_GRACE_MS;
     (relay.now_ms() < until_ms).then_some(until_ms)
 }
 
@@ -307,7 +307,7 @@
             continue;
         }
         if let (CONFIG_KEY, Some(text)) = (event.key.as_str(), event.value)
-            && relay.declare(&text, "store")
+            && relay.apply_declarations(&text, "store")
         {
             spread_table(relay);
         }
