--- a/components/relay/src/ingress/overrun.rs
+++ b/components/relay/src/ingress/overrun.rs
@@ -1,8 +1,8 @@
-//! A box that is overrun is not ready for a while, if others are: see [`crate::membership::stand_back`]. What it has
+//! A box that is overrun is not ready for a while, if others are: see [`crate::membership::load_shedding`]. What it has
 //! taken it serves.
 
 use crate::ingress::lag::{LagMeter, is_late};
-use crate::membership::stand_back::holds_until_ms;
+use crate::membership::load_shedding::shedding_until_ms;
 use crate::state::Relay;
 use settings::Mechanism;
 use std::ops::RangeInclusive;
@@ -56,7 +56,7 @@
 
 impl Relay {
     async fn stand_back(self: &Rc<Self>, asked_ms: u64) {
-        let allowed = self.asks_to_stand_back().await;
+        let allowed = self.request_load_shedding().await;
         let outcome = match allowed {
             true => "allowed",
             false => "denied",
@@ -64,7 +64,7 @@
         metrics::counter!("shuntpier_stand_backs", "outcome" => outcome).increment(1);
         slog::info!(self.log, "box stands back"; "allowed" => allowed);
         let until_ms = match allowed {
-            true => holds_until_ms(asked_ms),
+            true => shedding_until_ms(asked_ms),
             false => 0,
         };
         self.stands_back_until_ms.set(until_ms);
--- a/components/relay/src/membership/snapshot.rs
+++ b/components/relay/src/membership/compression.rs
@@ -10,7 +10,7 @@
 const TEXT_BYTES_MAX: u64 = 8 * 1024 * 1024;
 
 /// Packs a text.
-pub(crate) fn pack(text: &[u8]) -> Vec<u8> {
+pub(crate) fn compress(text: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let packed = encoder.write_all(text).and_then(|()| encoder.finish());
     packed.unwrap_or_else(|_| unreachable!("writing to memory does not fail"))
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// Where it is torn, or longer than any text of ours.
-pub(crate) fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
+pub(crate) fn decompress(packed: &[u8]) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(TEXT_BYTES_MAX + 1);
     decoder.read_to_end(&mut text)?;
@@ -31,5 +31,5 @@
 }
 
 #[cfg(test)]
-#[path = "snapshot_tests.rs"]
+#[path = "compression_tests.rs"]
 mod tests;
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -2,7 +2,7 @@
 //! lacks. What a broadcast missed is found so, and a box that starts learns so what its seeds know.
 
 use crate::membership::gossip::on_gossip;
-use crate::membership::lacking::Lacks;
+use crate::membership::missing::MissingData;
 use crate::state::Relay;
 use crate::watch::election::{View, watcher_role};
 use peers::FetchRequest;
@@ -91,7 +91,7 @@
 }
 
 /// Gets from a box what this one lacks.
-pub(crate) async fn fetch_from(relay: &Rc<Relay>, id: BoxId, lacks: Lacks) {
+pub(crate) async fn fetch_from(relay: &Rc<Relay>, id: BoxId, lacks: MissingData) {
     slog::debug!(relay.log, "asks for what it lacks"; "of" => id.0, "lacks" => ?lacks);
     let summary = || relay.targets.borrow().summary();
     let request = FetchRequest {
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -2,10 +2,10 @@
 //! are evacuated, and which boxes there are. How it gets around is in [`crate::membership::broadcast`] and [`crate::membership::exchange`].
 
 use crate::membership::broadcast::{pass_on, tell_all};
+use crate::membership::compression::decompress;
 use crate::membership::exchange::fetch_from;
-use crate::membership::lacking::Lacks;
 use crate::membership::members::Upserted;
-use crate::membership::snapshot::unpack;
+use crate::membership::missing::MissingData;
 use crate::rate_limit::announced::UNDER_WAY_MS;
 use crate::state::{Declared, Relay};
 use crate::watch::election::View;
@@ -103,7 +103,7 @@
     if let Some(whole) = whole {
         let mut budget = relay.lists_told.get();
         let link_mbps = relay.file().limits.link_mbps;
-        budget.note(whole.listed.wire_bytes(), link_mbps, relay.now_ms());
+        budget.record(whole.listed.wire_bytes(), link_mbps, relay.now_ms());
         relay.lists_told.set(budget);
         slog::info!(relay.log, "list of targets told"; "to" => to.0,
             "targets" => whole.listed.len());
@@ -134,7 +134,7 @@
     take_gossip(relay, news);
     let knows_list = relay.knows(View::Targets);
     let boxes = relay.members.borrow().budget_share();
-    let lacks = lacks(relay, &digest).after_telling(knows_list, boxes, rand::random());
+    let lacks = lacks(relay, &digest).after_broadcast(knows_list, boxes, rand::random());
     ask_for(relay, digest.from.id, lacks);
 }
 
@@ -154,7 +154,7 @@
         }
     }
     if let Some(table) = news.table {
-        match unpack(&table.packed) {
+        match decompress(&table.packed) {
             Ok(text) => {
                 relay.declare(&text, "peer");
             }
@@ -238,16 +238,16 @@
         return own < told;
     }
     let mut lacking = relay.lacking.get();
-    let is_due = lacking.is_due(own, told, relay.now_ms());
+    let is_due = lacking.is_fetch_due(own, told, relay.now_ms());
     relay.lacking.set(lacking);
     is_due
 }
 
 /// What this box lacks of what another one says that it knows.
-fn lacks(relay: &Relay, digest: &FleetDigest) -> Lacks {
+fn lacks(relay: &Relay, digest: &FleetDigest) -> MissingData {
     let held = relay.digest();
     let is_behind = held.targets_current_to < digest.targets_current_to;
-    Lacks {
+    MissingData {
         table: held.table_version < digest.table_version,
         targets: is_behind && lacks_targets(relay, &held, digest),
         boxes: lacks_boxes(held.boxes, digest.boxes),
@@ -259,7 +259,7 @@
     ask_for(relay, digest.from.id, lacks(relay, digest));
 }
 
-fn ask_for(relay: &Rc<Relay>, id: BoxId, lacks: Lacks) {
+fn ask_for(relay: &Rc<Relay>, id: BoxId, lacks: MissingData) {
     if !lacks.any() || relay.fetching.send_replace(true) {
         return;
     }
@@ -359,7 +359,7 @@
     }
 
     async fn stand_back(&self, from: BoxId) -> bool {
-        self.0.may_stand_back(from)
+        self.0.grant_load_shedding(from)
     }
 
     async fn ends(&self, told: EndsTold) -> EndsTold {
--- a/components/relay/src/membership/list_budget.rs
+++ b/components/relay/src/membership/list_budget.rs
@@ -17,7 +17,7 @@
     }
 
     /// Notes a list that is handed out.
-    pub fn note(&mut self, bytes: usize, link_mbps: f64, now_ms: u64) {
+    pub fn record(&mut self, bytes: usize, link_mbps: f64, now_ms: u64) {
         let bytes_per_ms = link_mbps * 125.0 * LINK_SHARE;
         let takes_ms = bytes as f64 / bytes_per_ms;
         self.until_ms = self.until_ms.max(now_ms as f64) + takes_ms;
--- a/components/relay/src/membership/list_budget_tests.rs
+++ b/components/relay/src/membership/list_budget_tests.rs
@@ -6,7 +6,7 @@
     let free = (0..10_000).filter(|now_ms| {
         let is_free = budget.is_free(*now_ms);
         if is_free {
-            budget.note(bytes, link_mbps, *now_ms);
+            budget.record(bytes, link_mbps, *now_ms);
         }
         is_free
     });
--- a/components/relay/src/membership/stand_back.rs
+++ b/components/relay/src/membership/load_shedding.rs
@@ -18,11 +18,11 @@
 
 /// Who stands back, and until when.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StandBacks(HashMap<BoxId, u64>);
+pub(crate) struct LoadShedding(HashMap<BoxId, u64>);
 
-impl StandBacks {
+impl LoadShedding {
     /// Whether a box may stand back, where so many are ready, those that stand back counted.
-    pub(crate) fn ask(&mut self, from: BoxId, ready: usize, now_ms: u64) -> bool {
+    pub(crate) fn try_acquire(&mut self, from: BoxId, ready: usize, now_ms: u64) -> bool {
         self.0.retain(|_, until_ms| *until_ms > now_ms);
         let others = self.0.keys().filter(|id| **id != from).count();
         let most = match ready {
@@ -38,7 +38,7 @@
     }
 
     /// Whether another box than this one may stand back now.
-    pub(crate) fn allows_others(&self, me: BoxId, now_ms: u64) -> bool {
+    pub(crate) fn is_granted_to_others(&self, me: BoxId, now_ms: u64) -> bool {
         let mut others = self.0.iter().filter(|(id, _)| **id != me);
         others.any(|(_, until_ms)| *until_ms > now_ms)
     }
@@ -46,7 +46,7 @@
 
 impl Relay {
     /// Answers a box that is overrun, also this one.
-    pub(crate) fn may_stand_back(&self, from: BoxId) -> bool {
+    pub(crate) fn grant_load_shedding(&self, from: BoxId) -> bool {
         if from != self.id && self.stands_back() {
             // Where the role moved, two that count would let all go.
             return false;
@@ -57,14 +57,17 @@
             .borrow()
             .ranked(COUNTING_ROLE, self.is_stopping(), now_ms)
             .len();
-        let allowed = self.stand_backs.borrow_mut().ask(from, ready, now_ms);
+        let allowed = self
+            .stand_backs
+            .borrow_mut()
+            .try_acquire(from, ready, now_ms);
         slog::info!(self.log, "asked to stand back"; "box" => from.0, "allowed" => allowed,
             "ready" => ready);
         allowed
     }
 
     /// Asks whether this box may stand back. No answer is no.
-    pub(crate) async fn asks_to_stand_back(self: &Rc<Self>) -> bool {
+    pub(crate) async fn request_load_shedding(self: &Rc<Self>) -> bool {
         let now_ms = self.now_ms();
         let ranked = self
             .members
@@ -73,10 +76,13 @@
         let Some(first) = ranked.first().copied() else {
             return false;
         };
-        let counts = self.stand_backs.borrow().allows_others(self.id, now_ms);
+        let counts = self
+            .stand_backs
+            .borrow()
+            .is_granted_to_others(self.id, now_ms);
         // Who allowed others counts itself with them, whoever is first now.
         if counts || first == self.id {
-            return self.may_stand_back(self.id);
+            return self.grant_load_shedding(self.id);
         }
         let from = self.id;
         let call = self
@@ -90,10 +96,10 @@
 }
 
 /// Until when a permission that was asked for at a time holds.
-pub(crate) fn holds_until_ms(asked_ms: u64) -> u64 {
+pub(crate) fn shedding_until_ms(asked_ms: u64) -> u64 {
     asked_ms + HOLDS_MS
 }
 
 #[cfg(test)]
-#[path = "stand_back_tests.rs"]
+#[path = "load_shedding_tests.rs"]
 mod tests;
--- a/components/relay/src/membership/lacking.rs
+++ b/components/relay/src/membership/missing.rs
@@ -12,7 +12,7 @@
 
 /// What another box knows and this one lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Lacks {
+pub(crate) struct MissingData {
     /// The operators' declarations, or their newest version.
     pub table: bool,
     /// Changes of targets, or the whole list.
@@ -21,7 +21,7 @@
     pub boxes: bool,
 }
 
-impl Lacks {
+impl MissingData {
     /// Whether it lacks anything.
     pub fn any(self) -> bool {
         self.table || self.targets || self.boxes
@@ -30,7 +30,7 @@
     /// What of it to ask of a box that has told all boxes something, where this one `knows_list`. All of so many `boxes` hear it
     /// at one time: who lacks the whole list or other boxes asks for them in an exchange, of which each box has its own, and of
     /// those that missed a change some ask at once, by a `lot` from 0 to 1.
-    pub fn after_telling(self, knows_list: bool, boxes: usize, lot: f64) -> Self {
+    pub fn after_broadcast(self, knows_list: bool, boxes: usize, lot: f64) -> Self {
         let is_drawn = lot * (boxes as f64) < ASK_TELLER_MAX;
         Self {
             targets: self.targets && knows_list && is_drawn,
@@ -42,14 +42,14 @@
 
 /// Since when this box has lacked changes of targets.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Lacking {
+pub(crate) struct MissingChanges {
     /// Up to which version another box had changes, and when this box heard so.
     noted: Option<(Version, u64)>,
 }
 
-impl Lacking {
+impl MissingChanges {
     /// Whether to ask now, where another box has changes up to `told` and this one up to `own`.
-    pub fn is_due(&mut self, own: Version, told: Version, now_ms: u64) -> bool {
+    pub fn is_fetch_due(&mut self, own: Version, told: Version, now_ms: u64) -> bool {
         self.noted = self.noted.filter(|(version, _)| own < *version);
         if own >= told {
             return false;
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "lacking_tests.rs"]
+#[path = "missing_tests.rs"]
 mod tests;
--- a/components/relay/src/membership/mod.rs
+++ b/components/relay/src/membership/mod.rs
@@ -1,15 +1,15 @@
 //! Which boxes there are, and how they tell each other what they know.
 
 pub(crate) mod broadcast;
+pub(crate) mod compression;
 pub(crate) mod exchange;
 pub(crate) mod gossip;
 pub(crate) mod hints;
 mod key_lease;
-pub(crate) mod lacking;
 pub(crate) mod list_budget;
+pub(crate) mod load_shedding;
 pub(crate) mod members;
+pub(crate) mod missing;
 pub(crate) mod ranking;
 pub(crate) mod registration;
-pub(crate) mod snapshot;
-pub(crate) mod stand_back;
 pub(crate) mod startup;
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -7,11 +7,11 @@
 use crate::forwarding::channels::Channels;
 use crate::held::{Bounds, Holdings};
 use crate::ingress::request::LocalReply;
-use crate::membership::lacking::Lacking;
+use crate::membership::compression::compress;
 use crate::membership::list_budget::ListBudget;
+use crate::membership::load_shedding::LoadShedding;
 use crate::membership::members::Members;
-use crate::membership::snapshot::pack;
-use crate::membership::stand_back::StandBacks;
+use crate::membership::missing::MissingChanges;
 use crate::quarantine::broken::BrokenRuns;
 use crate::rate_limit::state::RateLimits;
 use crate::watch::election::{Followed, View};
@@ -117,7 +117,7 @@
     /// The keys of all boxes were read since this box started.
     pub(crate) boxes_read: watch::Sender<bool>,
     /// Changes of targets that other boxes have and this one lacks.
-    pub(crate) lacking: Cell<Lacking>,
+    pub(crate) lacking: Cell<MissingChanges>,
     /// Whole lists of targets that this box has handed out.
     pub(crate) lists_told: Cell<ListBudget>,
     /// What another box knows more is being asked for.
@@ -128,7 +128,7 @@
     pub(crate) in_progress: Cell<usize>,
     pub(crate) requests_ended: Notify,
     /// Which boxes this one allows to stand back.
-    pub(crate) stand_backs: RefCell<StandBacks>,
+    pub(crate) stand_backs: RefCell<LoadShedding>,
     /// Until when this box stands back.
     pub(crate) stands_back_until_ms: Cell<u64>,
     /// A planned stop has begun.
@@ -287,7 +287,7 @@
         metrics::gauge!("shuntpier_table_version").set(table.version as f64);
         *self.declared.borrow_mut() = Some(Rc::new(Declared {
             table,
-            packed: pack(text),
+            packed: compress(text),
         }));
         self.targets_changed();
         true
--- a/components/relay/src/watch/target_snapshot.rs
+++ b/components/relay/src/watch/target_snapshot.rs
@@ -3,7 +3,7 @@
 //! box that watches targets writes it; it is as old as the last write, and whoever reads it is told what is newer by the
 //! boxes that watch.
 
-use crate::membership::snapshot::{pack, unpack};
+use crate::membership::compression::{compress, decompress};
 use crate::state::Relay;
 use crate::watch::election::{View, rank};
 use peers::TargetList;
@@ -65,7 +65,7 @@
 }
 
 fn part(relay: &Relay, item: &Versioned) -> Option<Part> {
-    let unpacked = unpack(&item.value).ok();
+    let unpacked = decompress(&item.value).ok();
     let part = unpacked.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     if part.is_none() {
         slog::warn!(relay.log, "part of a snapshot not used"; "key" => &item.key,
@@ -149,7 +149,7 @@
             postcard::to_stdvec(&part).map_err(|error| StoreError::NotDone(error.to_string()))?;
         Ok(Write::Put {
             key: format!("{PREFIX}{at:03}"),
-            value: pack(&bytes),
+            value: compress(&bytes),
             lease: lease.id,
         })
     });
--- a/components/relay/src/watch/target_snapshot_tests.rs
+++ b/components/relay/src/watch/target_snapshot_tests.rs
@@ -55,8 +55,8 @@
         parts: 1,
         listed: TargetList::new(&entries),
     };
-    let packed = pack(&postcard::to_stdvec(&part).unwrap());
+    let packed = compress(&postcard::to_stdvec(&part).unwrap());
     assert!(packed.len() < 32 * PART_TARGETS, "{}", packed.len());
-    let read: Part = postcard::from_bytes(&unpack(&packed).unwrap()).unwrap();
+    let read: Part = postcard::from_bytes(&decompress(&packed).unwrap()).unwrap();
     assert_eq!(read.listed.entries(), entries);
 }
