--- a/components/relay/src/dispatch/heartbeat.rs
+++ b/components/relay/src/dispatch/heartbeat.rs
@@ -29,12 +29,12 @@
         match answered {
             Ok(value) => {
                 let was_cut_off = self.is_cut_off(now_ms);
-                let heard = self.members.borrow_mut().heard(id, now_ms);
+                let heard = self.members.borrow_mut().record_contact(id, now_ms);
                 self.note_heard(heard, was_cut_off);
                 Some(value)
             }
             Err(error) => {
-                self.members.borrow_mut().suspected(id, now_ms);
+                self.members.borrow_mut().record_failure(id, now_ms);
                 self.peer_doubted.notify_waiters();
                 slog::info!(self.log, "peer did not answer"; "call" => call, "box" => id.0,
                     "error" => %error);
--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -3,7 +3,7 @@
 
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::membership::gossip::tell_current;
-use crate::membership::members::Upserted;
+use crate::membership::members::MemberUpdate;
 use crate::state::Relay;
 use crate::watch::election::ALONE_MS;
 use prelude::{PermitId, PoolId};
@@ -68,19 +68,19 @@
 
     /// Whether no other box was heard for so long that its pools are dispatched elsewhere.
     pub(crate) fn is_cut_off(&self, now_ms: u64) -> bool {
-        let heard_ms = self.members.borrow().heard_any_ms();
+        let heard_ms = self.members.borrow().last_contact_ms();
         heard_ms > 0 && heard_ms + ALONE_MS < now_ms
     }
 
     /// Whether no other box is heard, or ever was.
     pub(crate) fn hears_nobody(&self, now_ms: u64) -> bool {
-        let heard_ms = self.members.borrow().heard_any_ms();
+        let heard_ms = self.members.borrow().last_contact_ms();
         heard_ms == 0 || heard_ms + ALONE_MS < now_ms
     }
 
     /// Notes that a box was heard. Where roles moved by it, requests that wait ask the box that dispatches their pool now, and
     /// it is told what runs here.
-    pub(crate) fn note_heard(&self, met: Upserted, was_cut_off: bool) {
+    pub(crate) fn note_heard(&self, met: MemberUpdate, was_cut_off: bool) {
         if was_cut_off {
             let now_ms = self.now_ms();
             for (pool, dispatcher) in self.dispatchers.borrow_mut().iter_mut() {
@@ -89,7 +89,7 @@
                     "grants_from_ms" => dispatcher.grants_from_ms, "now_ms" => now_ms);
             }
         }
-        if was_cut_off || met != Upserted::Known {
+        if was_cut_off || met != MemberUpdate::Unchanged {
             self.peer_doubted.notify_waiters();
             self.generations_changed.notify_one();
         }
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -212,7 +212,7 @@
         route: route_key(way.route()),
         cold: ColdRate {
             rate_per_s: way.service().cold_rate_per_s,
-            boxes: relay.members.borrow().budget_share(),
+            boxes: relay.members.borrow().peak_box_count(),
         },
     }
 }
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -129,7 +129,7 @@
     /// Whether this box may have so many more bytes of requests at a target: the bound holds for all boxes together.
     fn has_request_room(&self, slot: TargetSlot, more: u64) -> bool {
         let most_bytes = self.file().limits.target_request_bytes();
-        let part = most_bytes / self.members.borrow().budget_share() as u64;
+        let part = most_bytes / self.members.borrow().peak_box_count() as u64;
         let targets = self.targets.borrow();
         let held = targets.get(slot).map_or(0, |target| target.open_bytes);
         has_request_room(held, more, part)
--- a/components/relay/src/ingress/stopping.rs
+++ b/components/relay/src/ingress/stopping.rs
@@ -20,7 +20,7 @@
 pub(crate) fn stop_retry_ms(relay: &Relay) -> u64 {
     let now_ms = relay.now_ms();
     let members = relay.members.borrow();
-    if members.elsewhere_chance(now_ms) > 0.0 {
+    if members.reconnect_chance(now_ms) > 0.0 {
         return STOP_RETRY_MS;
     }
     let began_ms = members.first_stop_ms().unwrap_or(now_ms);
@@ -52,7 +52,7 @@
     let outlook = relay.completion.borrow();
     let ends =
         outlook.completion_probability(generation.guess_tokens, generation.most_tokens, left_ms);
-    let elsewhere = relay.members.borrow().elsewhere_chance(relay.now_ms());
+    let elsewhere = relay.members.borrow().reconnect_chance(relay.now_ms());
     if is_early && ends > 0.0 && ends >= elsewhere {
         return None;
     }
--- a/components/relay/src/membership/broadcast.rs
+++ b/components/relay/src/membership/broadcast.rs
@@ -25,7 +25,7 @@
 
 /// Tells all other boxes.
 pub(crate) fn tell_all(relay: &Rc<Relay>, news: &FleetGossip) {
-    let others = relay.members.borrow().in_telling_order(relay.now_ms());
+    let others = relay.members.borrow().broadcast_order(relay.now_ms());
     for group in first_told(&others) {
         let group = addressed(relay, &group);
         spawn_local(tell_group(relay.clone(), news.clone(), group));
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -48,7 +48,7 @@
 }
 
 fn forget_silent(relay: &Relay) {
-    let gone = relay.members.borrow_mut().forget_silent(relay.now_ms());
+    let gone = relay.members.borrow_mut().expire_silent(relay.now_ms());
     for id in gone {
         slog::info!(relay.log, "box forgotten"; "box" => id.0);
         relay.peers.forget(id);
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -4,7 +4,7 @@
 use crate::membership::broadcast::{pass_on, tell_all};
 use crate::membership::compression::decompress;
 use crate::membership::exchange::fetch_from;
-use crate::membership::members::Upserted;
+use crate::membership::members::MemberUpdate;
 use crate::membership::missing::MissingData;
 use crate::rate_limit::announced::UNDER_WAY_MS;
 use crate::state::{Declared, Relay};
@@ -38,7 +38,7 @@
     if card.id == relay.id {
         return;
     }
-    if met == Upserted::New {
+    if met == MemberUpdate::New {
         relay.peers.forget(card.id);
         slog::info!(relay.log, "box met"; "name" => &*card.name, "box" => card.id.0,
             "life" => card.life, "address" => %card.address, "keyed" => keyed);
@@ -133,7 +133,7 @@
     let digest = news.digest.clone();
     take_gossip(relay, news);
     let knows_list = relay.knows(View::Targets);
-    let boxes = relay.members.borrow().budget_share();
+    let boxes = relay.members.borrow().peak_box_count();
     let lacks = lacks(relay, &digest).after_broadcast(knows_list, boxes, rand::random());
     ask_for(relay, digest.from.id, lacks);
 }
@@ -145,7 +145,7 @@
     relay
         .members
         .borrow_mut()
-        .told_count(news.digest.boxes, now_ms);
+        .record_reported_count(news.digest.boxes, now_ms);
     take_evacuations(relay, &news.digest);
     for card in &news.boxes {
         let known = relay.members.borrow().card(card.id).is_some();
@@ -316,7 +316,7 @@
         pass_on(&self.0, &mut news);
         if news.follows_store {
             let now_ms = self.0.now_ms();
-            self.0.members.borrow_mut().heard_follower(now_ms);
+            self.0.members.borrow_mut().record_store_follower(now_ms);
         }
         on_telling(&self.0, news);
     }
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -23,7 +23,7 @@
             return;
         }
         let now_ms = self.now_ms();
-        let others = self.members.borrow().in_telling_order(now_ms);
+        let others = self.members.borrow().broadcast_order(now_ms);
         let near: Vec<(BoxId, DataCentreId)> = others
             .into_iter()
             .filter(|(_, data_centre)| *data_centre == self.data_centre)
--- a/components/relay/src/membership/key_lease.rs
+++ b/components/relay/src/membership/key_lease.rs
@@ -27,8 +27,8 @@
     };
 
     /// Those of a box that reads the others' keys so many times less often than one among few.
-    pub fn among(read_times: u64) -> Self {
-        let renew_each_s = RENEW_EACH_S * read_times;
+    pub fn for_factor(interval_factor: u64) -> Self {
+        let renew_each_s = RENEW_EACH_S * interval_factor;
         Self {
             renew_each_s: renew_each_s.min(RENEW_EACH_MAX_S),
         }
--- a/components/relay/src/membership/key_lease_tests.rs
+++ b/components/relay/src/membership/key_lease_tests.rs
@@ -5,8 +5,8 @@
 /// Calls a minute by which a hundred of so many boxes renew their keys, where one has met none and was told of all.
 fn calls_per_min(boxes: u32) -> f64 {
     let mut members = Members::new(BoxId(0), 100);
-    members.told_count(boxes - 1, 0);
-    let terms = KeyTerms::among(members.read_times());
+    members.record_reported_count(boxes - 1, 0);
+    let terms = KeyTerms::for_factor(members.interval_factor());
     100.0 * 60.0 / terms.renew_each().as_secs_f64()
 }
 
@@ -20,18 +20,18 @@
 
 #[test]
 fn a_lease_outlasts_a_renewal_that_is_lost() {
-    for read_times in 1..=20 {
-        let terms = KeyTerms::among(read_times);
+    for interval_factor in 1..=20 {
+        let terms = KeyTerms::for_factor(interval_factor);
         let renew_s = terms.renew_each().as_secs();
-        assert!(terms.lease_s() >= 2 * renew_s, "{read_times}");
+        assert!(terms.lease_s() >= 2 * renew_s, "{interval_factor}");
         assert!(terms.lease_s() <= LEASE_MAX_S);
     }
 }
 
 #[test]
 fn a_lease_taken_among_few_is_taken_anew_among_many() {
-    let many = KeyTerms::among(15);
+    let many = KeyTerms::for_factor(15);
     assert!(KeyTerms::SHORTEST.is_short_of(many));
-    assert!(!KeyTerms::among(8).is_short_of(many));
+    assert!(!KeyTerms::for_factor(8).is_short_of(many));
     assert!(!many.is_short_of(KeyTerms::SHORTEST));
 }
--- a/components/relay/src/membership/members_tests.rs
+++ b/components/relay/src/membership/members_tests.rs
@@ -25,12 +25,12 @@
 fn a_box_that_does_not_answer_holds_no_role_for_longer_each_time() {
     let mut members = three();
     let first = members.ranked(ROLE, true, 0)[0];
-    members.suspected(first, 0);
+    members.record_failure(first, 0);
     assert_ne!(members.ranked(ROLE, true, 500)[0], first);
     assert_eq!(members.ranked(ROLE, true, 1_500)[0], first);
-    members.suspected(first, 1_500);
+    members.record_failure(first, 1_500);
     assert_ne!(members.ranked(ROLE, true, 3_000)[0], first);
-    members.heard(first, 3_000);
+    members.record_contact(first, 3_000);
     assert_eq!(members.ranked(ROLE, true, 3_001)[0], first);
 }
 
@@ -46,12 +46,15 @@
     let mut members = three();
     members.upsert(card(2, 5, true), false, 10);
     assert_eq!(
-        members.upsert(card(2, LIFE_UNKNOWN, false), true, 20),
-        Upserted::Known
+        members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 20),
+        MemberUpdate::Unchanged
     );
     let known = members.card(BoxId(2)).unwrap();
     assert_eq!((known.life, known.leaving), (5, true));
-    assert_eq!(members.upsert(card(2, 6, false), false, 30), Upserted::New);
+    assert_eq!(
+        members.upsert(card(2, 6, false), false, 30),
+        MemberUpdate::New
+    );
     assert!(!members.card(BoxId(2)).unwrap().leaving);
 }
 
@@ -59,18 +62,21 @@
 fn a_box_known_by_its_key_is_the_same_when_it_speaks() {
     let mut members = Members::new(BoxId(1), 1_000);
     assert_eq!(
-        members.upsert(card(2, LIFE_UNKNOWN, false), true, 0),
-        Upserted::New
+        members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 0),
+        MemberUpdate::New
+    );
+    assert_eq!(
+        members.upsert(card(2, 9, false), false, 5),
+        MemberUpdate::Unchanged
     );
-    assert_eq!(members.upsert(card(2, 9, false), false, 5), Upserted::Known);
     assert_eq!(members.card(BoxId(2)).unwrap().life, 9);
 }
 
 #[test]
 fn the_budget_is_shared_among_the_boxes_that_another_knows() {
     let mut members = three();
-    members.told_count(40, 10);
-    assert_eq!(members.budget_share(), 41);
+    members.record_reported_count(40, 10);
+    assert_eq!(members.peak_box_count(), 41);
 }
 
 #[test]
@@ -83,42 +89,42 @@
         };
         members.upsert(card, true, 0);
     }
-    members.suspected(BoxId(5), 0);
-    let order: Vec<u32> = members.in_telling_order(10).iter().map(|b| b.0.0).collect();
+    members.record_failure(BoxId(5), 0);
+    let order: Vec<u32> = members.broadcast_order(10).iter().map(|b| b.0.0).collect();
     assert_eq!(order, [3, 4, 2, 5]);
 }
 
 #[test]
 fn a_box_with_a_key_is_kept_and_one_without_a_word_is_forgotten() {
     let mut members = three();
-    members.keys_are(&[BoxId(2)]);
-    assert_eq!(members.forget_silent(60_000), [BoxId(3)]);
+    members.set_keyed(&[BoxId(2)]);
+    assert_eq!(members.expire_silent(60_000), [BoxId(3)]);
     assert_eq!(members.others(), [BoxId(2)]);
 }
 
 #[test]
 fn the_budget_is_shared_among_the_most_boxes_seen_lately() {
     let mut members = three();
-    members.keys_are(&[]);
-    members.forget_silent(12_000);
-    assert_eq!(members.budget_share(), 3);
-    members.forget_silent(20_000);
-    assert_eq!(members.budget_share(), 1);
+    members.set_keyed(&[]);
+    members.expire_silent(12_000);
+    assert_eq!(members.peak_box_count(), 3);
+    members.expire_silent(20_000);
+    assert_eq!(members.peak_box_count(), 1);
 }
 
 #[test]
 fn a_caller_sent_away_may_meet_a_box_that_has_just_begun_to_stop() {
     let mut members = three();
-    assert_eq!(members.elsewhere_chance(0), 1.0);
+    assert_eq!(members.reconnect_chance(0), 1.0);
     members.upsert(card(2, 1, true), false, 1_000);
-    assert_eq!(members.elsewhere_chance(1_500), 0.5);
+    assert_eq!(members.reconnect_chance(1_500), 0.5);
     assert_eq!(members.first_stop_ms(), Some(1_000));
     // Fewer than half do not stop, so that the platform goes on asking all.
-    assert_eq!(members.elsewhere_chance(4_000), 0.5);
+    assert_eq!(members.reconnect_chance(4_000), 0.5);
     members.upsert(card(3, 1, true), false, 4_000);
-    assert_eq!(members.elsewhere_chance(4_000), 0.0);
+    assert_eq!(members.reconnect_chance(4_000), 0.0);
     members.upsert(card(3, 2, false), false, 5_000);
-    assert_eq!(members.elsewhere_chance(5_000), 0.5);
+    assert_eq!(members.reconnect_chance(5_000), 0.5);
 }
 
 #[test]
@@ -128,8 +134,8 @@
         members.upsert(card(id, 1, false), true, 0);
     }
     members.upsert(card(2, 1, true), false, 1_000);
-    assert_eq!(members.elsewhere_chance(1_500), 0.8);
-    assert_eq!(members.elsewhere_chance(3_500), 1.0);
+    assert_eq!(members.reconnect_chance(1_500), 0.8);
+    assert_eq!(members.reconnect_chance(3_500), 1.0);
 }
 
 #[test]
@@ -174,15 +180,15 @@
             assert_eq!(members.ranked(role, false, at_ms).len(), boxes as usize);
         }
     }
-    let looks = members.ranked_looks();
+    let looks = members.ranking_checks();
     assert!(looks <= 2 * u64::from(boxes), "{looks}");
 }
 
 /// Compares the order with that of a list of boxes of which nothing was asked before.
 fn assert_as_if_new(members: &Members, now_ms: u64) {
     let fresh = Members {
-        ranked_looks: Cell::default(),
-        ..members.anew()
+        ranking_checks: Cell::default(),
+        ..members.without_cache()
     };
     for leaving in [false, true] {
         let (order, new) = (
@@ -204,14 +210,14 @@
     assert_as_if_new(&members, 0);
     for at_ms in (0..40_000).step_by(250) {
         match at_ms {
-            1_000 => members.suspected(BoxId(20), at_ms),
-            1_500 => members.suspected(BoxId(7), at_ms),
-            3_000 => members.suspected(BoxId(20), at_ms),
-            4_000 => drop(members.heard(BoxId(20), at_ms)),
+            1_000 => members.record_failure(BoxId(20), at_ms),
+            1_500 => members.record_failure(BoxId(7), at_ms),
+            3_000 => members.record_failure(BoxId(20), at_ms),
+            4_000 => drop(members.record_contact(BoxId(20), at_ms)),
             6_000 => drop(members.upsert(card(7, 1, true), false, at_ms)),
             8_000 => members.set_link(200),
-            9_000 => members.keys_are(&[BoxId(1), BoxId(2), BoxId(20)]),
-            30_000 => drop(members.forget_silent(at_ms)),
+            9_000 => members.set_keyed(&[BoxId(1), BoxId(2), BoxId(20)]),
+            30_000 => drop(members.expire_silent(at_ms)),
             31_000 => drop(members.upsert(card(60, 1, false), true, at_ms)),
             _ => {}
         }
@@ -244,9 +250,9 @@
 #[test]
 fn a_box_that_hears_of_more_boxes_than_it_knows_reads_their_keys_soon() {
     let mut members = crowd(1_000);
-    assert!(!members.is_list_due(LIST_EACH_MS - 1));
-    members.told_count(1_000, 5_000);
-    assert!(members.is_list_due(LIST_EACH_MS));
+    assert!(!members.is_list_due(LIST_INTERVAL_MS - 1));
+    members.record_reported_count(1_000, 5_000);
+    assert!(members.is_list_due(LIST_INTERVAL_MS));
 }
 
 /// The boxes 1 to 6, every other one in the barn; this one is 1 and stands in the hall.
@@ -271,17 +277,17 @@
     );
     let mut members = two_places();
     for role in 0..20 {
-        let holder = members.winner_near(role, barn, Some(hall), 0).unwrap();
+        let holder = members.role_holder_near(role, barn, Some(hall), 0).unwrap();
         assert_eq!(holder.0 % 2, 0);
-        let holder = members.winner_near(role, hall, Some(hall), 0).unwrap();
+        let holder = members.role_holder_near(role, hall, Some(hall), 0).unwrap();
         assert_eq!(holder.0 % 2, 1);
     }
     for id in [2, 4, 6] {
-        members.suspected(BoxId(id), 0);
+        members.record_failure(BoxId(id), 0);
     }
-    let holder = members.winner_near(ROLE, barn, Some(hall), 0).unwrap();
+    let holder = members.role_holder_near(ROLE, barn, Some(hall), 0).unwrap();
     assert_eq!(holder.0 % 2, 1, "none in the barn answers");
-    assert_eq!(members.able_count(0), 3);
+    assert_eq!(members.eligible_count(0), 3);
 }
 
 #[test]
@@ -298,7 +304,7 @@
         others.upsert(card, true, 0);
     }
     for role in 0..50 {
-        let by_me = mine.winner_near(role, hall, Some(hall), 0);
-        assert_eq!(by_me, others.winner_near(role, hall, Some(hall), 0));
+        let by_me = mine.role_holder_near(role, hall, Some(hall), 0);
+        assert_eq!(by_me, others.role_holder_near(role, hall, Some(hall), 0));
     }
 }
--- a/components/relay/src/membership/registration.rs
+++ b/components/relay/src/membership/registration.rs
@@ -4,7 +4,7 @@
 use crate::membership::exchange::greet;
 use crate::membership::gossip::{tell_current, upsert_member};
 use crate::membership::key_lease::{HeldLease, KeyTerms};
-use crate::membership::members::LIFE_UNKNOWN;
+use crate::membership::members::INCARNATION_UNKNOWN;
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
 use crate::watch::election::CONFIRM_EACH;
@@ -103,7 +103,7 @@
 }
 
 async fn keep_once(relay: &Relay, held: &mut Option<HeldLease>) -> Result<(), StoreError> {
-    let wanted = KeyTerms::among(relay.members.borrow().read_times());
+    let wanted = KeyTerms::for_factor(relay.members.borrow().interval_factor());
     // A box that has just started finds the key of its former life: two writes less.
     let former = || relay.former_lease.take().map(HeldLease::of_former_life);
     let lasting = held.filter(|held| !held.terms.is_short_of(wanted));
@@ -155,7 +155,7 @@
 /// What the key says, which may outlast this life of the box.
 fn lasting_card(relay: &Relay) -> FleetCard {
     FleetCard {
-        life: LIFE_UNKNOWN,
+        life: INCARNATION_UNKNOWN,
         leaving: false,
         ..relay.card()
     }
@@ -218,7 +218,7 @@
     note_former_lease(relay, items);
     let cards: Vec<FleetCard> = items.iter().filter_map(|item| card(relay, item)).collect();
     let ids: Vec<BoxId> = cards.iter().map(|card| card.id).collect();
-    relay.members.borrow_mut().keys_are(&ids);
+    relay.members.borrow_mut().set_keyed(&ids);
     for card in &cards {
         upsert_member(relay, card, true);
     }
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -101,7 +101,7 @@
 fn read_times(relay: &Relay) -> u32 {
     match relay.hears_nobody(relay.now_ms()) {
         true => 1,
-        false => relay.members.borrow().read_times() as u32,
+        false => relay.members.borrow().interval_factor() as u32,
     }
 }
 
--- a/components/relay/src/quarantine/spread.rs
+++ b/components/relay/src/quarantine/spread.rs
@@ -42,7 +42,7 @@
     }
 
     fn tell_all_of_ends(self: &Rc<Self>, told: &EndsTold) {
-        let others = self.members.borrow().in_telling_order(self.now_ms());
+        let others = self.members.borrow().broadcast_order(self.now_ms());
         for group in groups(&others) {
             tokio::task::spawn_local(tell_group(self.clone(), told.clone(), group));
         }
--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -57,7 +57,7 @@
     async fn send_pending_rates(self: &Rc<Self>) {
         sleep(COLLECTED_FOR).await;
         while !self.rate_limits.pending.borrow().is_empty() {
-            let boxes = self.members.borrow().budget_share();
+            let boxes = self.members.borrow().peak_box_count();
             let now_ms = self.now_ms();
             let may_send = self.rate_limits.budget.borrow_mut().try_take(boxes, now_ms);
             if !may_send {
--- a/components/relay/src/rate_limit/coordinator.rs
+++ b/components/relay/src/rate_limit/coordinator.rs
@@ -70,15 +70,15 @@
         };
         let me = (!self.is_stopping()).then_some(self.data_centre);
         let members = self.members.borrow();
-        let winner = members.winner_near(id.0, data_centre, me, self.now_ms());
+        let winner = members.role_holder_near(id.0, data_centre, me, self.now_ms());
         Some(winner.unwrap_or(self.id))
     }
 
     /// The part of a limit that a box may grant: that of the boxes which it reaches. Others may grant the rest.
     pub(crate) fn granted_share(&self) -> f64 {
         let members = self.members.borrow();
-        let reached = members.able_count(self.now_ms());
-        (reached as f64 / members.budget_share() as f64).min(1.0)
+        let reached = members.eligible_count(self.now_ms());
+        (reached as f64 / members.peak_box_count() as f64).min(1.0)
     }
 
     /// Requests a second that this box may grant for a target; none where the target has no limit.
--- a/components/relay/src/rate_limit/token.rs
+++ b/components/relay/src/rate_limit/token.rs
@@ -127,7 +127,7 @@
     /// Takes a token from this box's own share of a limit.
     fn take_own_token(&self, slot: TargetSlot) -> Result<(), u64> {
         let now_ms = self.now_ms();
-        let boxes = self.members.borrow().budget_share();
+        let boxes = self.members.borrow().peak_box_count();
         let Some(rate_per_s) = self.rate_limit_of(slot) else {
             return Ok(());
         };
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -7,7 +7,7 @@
 use crate::ingress::readiness;
 use crate::membership::exchange::{greet, run_exchanges};
 use crate::membership::gossip::Handler;
-use crate::membership::members::{LIFE_UNKNOWN, Members};
+use crate::membership::members::{INCARNATION_UNKNOWN, Members};
 use crate::membership::registration::{box_id, keep_registration, read_boxes};
 use crate::quarantine::record::read_records;
 use crate::rate_limit::state::RateLimits;
@@ -106,7 +106,7 @@
         log: log.new(slog::o!("box" => identity.name.clone())),
         clock: Clock::new(),
         id,
-        life: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
+        life: rand::random_range(INCARNATION_UNKNOWN + 1..=u32::MAX),
         data_centre: DataCentreId::from_name(&identity.data_centre),
         store: FleetStore::new(file.store.address),
         peers: FleetClients::new(keys.clone(), traffic.clone()),
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -337,7 +337,7 @@
     /// Takes one second send to a service from the budget.
     pub(crate) fn take_resend(&self, service: &str) -> bool {
         let boxes = match self.file().has(Mechanism::BudgetShares) {
-            true => self.members.borrow().budget_share(),
+            true => self.members.borrow().peak_box_count(),
             false => 1,
         };
         let taken = self.resend_window(service, |window, now_ms| window.try_take(boxes, now_ms));
--- a/components/relay/src/watch/election.rs
+++ b/components/relay/src/watch/election.rs
@@ -114,11 +114,11 @@
     if is_elected(relay) {
         return 0;
     }
-    let heard_ms = relay.members.borrow().heard_any_ms();
+    let heard_ms = relay.members.borrow().last_contact_ms();
     if heard_ms + ALONE_MS < relay.now_ms() {
         return QUIET_MS;
     }
-    let most = relay.members.borrow().budget_share();
+    let most = relay.members.borrow().peak_box_count();
     let known = ranks(relay).len();
     let turn = rank(relay).map_or(u64::MAX, |rank| turn_among_all(rank as u64, known, most));
     let is_away = another_asks(relay);
@@ -175,7 +175,7 @@
 
 /// Whether others follow the store again, so that a box whose turn it is not can leave it to them.
 pub(crate) fn is_relieved(relay: &Relay, began_ms: u64) -> bool {
-    let heard_ms = relay.members.borrow().heard_follower_ms();
+    let heard_ms = relay.members.borrow().store_follower_seen_ms();
     !is_elected(relay) && heard_ms > began_ms + QUIET_MS
 }
 
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -186,7 +186,7 @@
 
 /// The pause before the next answer of a watch is asked for.
 fn pace(relay: &Relay, view: View) -> Duration {
-    let heard_ms = relay.members.borrow().heard_follower_ms();
+    let heard_ms = relay.members.borrow().store_follower_seen_ms();
     let is_second = rank(relay) != Some(0) && heard_ms + STANDS_BY_MS > relay.now_ms();
     match view {
         View::Declarations => DECLARATIONS_PACE,
