--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -2,7 +2,7 @@
 //! boxes tell it what runs, and the callers that wait ask it again, so that they keep their places.
 
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::membership::gossip::tell_current;
+use crate::membership::gossip::broadcast_digest;
 use crate::membership::members::MemberUpdate;
 use crate::state::Relay;
 use crate::watch::election::ALONE_MS;
@@ -98,6 +98,6 @@
     /// Says to all boxes that this one is there: some may still have a pool dispatched by another.
     pub(crate) fn dispatches_again(self: &Rc<Self>, pool: PoolId) {
         slog::info!(self.log, "dispatching again"; "pool" => %pool.model);
-        tell_current(self);
+        broadcast_digest(self);
     }
 }
--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -63,7 +63,7 @@
             metrics::counter!("shuntpier_target_pauses").increment(1);
             slog::info!(self.log, "target asks for a pause"; "target" => self.name_of(slot),
                 "pause_ms" => pause_ms);
-            self.tell_hint(slot, HintWord::TurnedAway);
+            self.broadcast_hint(slot, HintWord::TurnedAway);
         }
     }
 
--- a/components/relay/src/forwarding/call_records.rs
+++ b/components/relay/src/forwarding/call_records.rs
@@ -54,7 +54,7 @@
     /// Notes that a call got no answer, and tells others.
     pub(crate) fn call_unanswered(self: &Rc<Self>, slot: TargetSlot) {
         self.took_hint(slot, self.id, HintWord::NoAnswer);
-        self.tell_hint(slot, HintWord::NoAnswer);
+        self.broadcast_hint(slot, HintWord::NoAnswer);
     }
 
     /// Notes how slow a target says that it is, and tells others where that is news.
@@ -68,7 +68,7 @@
             .map_or_else(Default::default, known);
         self.took_hint(slot, self.id, HintWord::Slowness(percent));
         if before.is_change(percent, now_ms) {
-            self.tell_hint(slot, HintWord::Slowness(percent));
+            self.broadcast_hint(slot, HintWord::Slowness(percent));
         }
     }
 
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -12,7 +12,7 @@
 use crate::ingress::accept::{After, count, write_reply};
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::ingress::stopping::refusal_of_stopping;
-use crate::membership::gossip::tell_current;
+use crate::membership::gossip::broadcast_digest;
 use crate::quarantine::broken::Break;
 use crate::state::Relay;
 use crate::watch::targets::{Target, TargetSlot};
@@ -210,7 +210,7 @@
         if !relay.takes_work(slot) {
             // The dispatcher has not heard yet that it leaves.
             failed = relay.id_of(slot);
-            tell_current(relay);
+            broadcast_digest(relay);
             continue;
         }
         if let Some(own) = relay.withheld(incoming) {
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -1,7 +1,7 @@
 //! What a try says of its target, for the requests that come after it.
 
 use crate::forwarding::send::NotRun;
-use crate::membership::gossip::tell_current;
+use crate::membership::gossip::broadcast_digest;
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetBook, TargetSlot};
 use prelude::TargetId;
@@ -84,7 +84,7 @@
         drop(targets);
         if let Some(change) = left {
             self.took_changes(&[change], "answer");
-            tell_current(self);
+            broadcast_digest(self);
         }
         if doubted {
             slog::info!(self.log, "target passed over"; "target" => self.name_of(slot));
--- a/components/relay/src/membership/broadcast.rs
+++ b/components/relay/src/membership/broadcast.rs
@@ -24,16 +24,16 @@
 type Addressed = (BoxId, SocketAddr);
 
 /// Tells all other boxes.
-pub(crate) fn tell_all(relay: &Rc<Relay>, news: &FleetGossip) {
+pub(crate) fn broadcast_gossip(relay: &Rc<Relay>, news: &FleetGossip) {
     let others = relay.members.borrow().broadcast_order(relay.now_ms());
-    for group in first_told(&others) {
+    for group in data_centre_groups(&others) {
         let group = addressed(relay, &group);
         spawn_local(tell_group(relay.clone(), news.clone(), group));
     }
 }
 
 /// Passes news on to the boxes that its sender named.
-pub(crate) fn pass_on(relay: &Rc<Relay>, news: &mut FleetGossip) {
+pub(crate) fn forward_gossip(relay: &Rc<Relay>, news: &mut FleetGossip) {
     let named = std::mem::take(&mut news.pass_on);
     for (id, address) in &named {
         if relay.members.borrow().card(*id).is_none() {
@@ -46,7 +46,7 @@
 }
 
 /// The groups that a box tells news, of which it sends one message each: the boxes of each data centre.
-pub(crate) fn first_told(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
+pub(crate) fn data_centre_groups(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
     if others.len() <= TOLD_DIRECTLY_MAX {
         return others.iter().map(|(id, _)| vec![*id]).collect();
     }
@@ -58,7 +58,7 @@
 
 /// The boxes that are told, each first one passing on to the others of its group. Boxes of one data centre follow each
 /// other in `others`, those that should pass on first.
-pub(crate) fn groups(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
+pub(crate) fn broadcast_groups(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
     if others.len() <= TOLD_DIRECTLY_MAX {
         return others.iter().map(|(id, _)| vec![*id]).collect();
     }
--- a/components/relay/src/membership/broadcast_tests.rs
+++ b/components/relay/src/membership/broadcast_tests.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn tells_a_few_boxes_one_by_one() {
-    assert_eq!(groups(&boxes(0, 1)).len(), 0);
-    assert_eq!(groups(&boxes(24, 3)).len(), 24);
+    assert_eq!(broadcast_groups(&boxes(0, 1)).len(), 0);
+    assert_eq!(broadcast_groups(&boxes(24, 3)).len(), 24);
 }
 
 #[rstest]
@@ -24,7 +24,7 @@
 #[case(361, 5)]
 #[case(1_000, 7)]
 fn tells_many_boxes_by_groups_that_hold_each_of_them_once(#[case] count: u32, #[case] places: u32) {
-    let groups = groups(&boxes(count, places));
+    let groups = broadcast_groups(&boxes(count, places));
     let mut told = groups.concat();
     told.sort();
     assert_eq!(told, (0..count).map(BoxId).collect::<Vec<_>>());
@@ -42,7 +42,7 @@
 fn what_is_passed_on_stays_in_its_data_centre() {
     let boxes = boxes(361, 5);
     let place: HashMap<BoxId, DataCentreId> = boxes.iter().copied().collect();
-    for group in groups(&boxes) {
+    for group in broadcast_groups(&boxes) {
         assert!(group.iter().all(|id| place[id] == place[&group[0]]));
     }
 }
@@ -50,7 +50,10 @@
 #[test]
 fn the_first_boxes_of_a_data_centre_pass_on() {
     let boxes = boxes(60, 1);
-    let heads: Vec<BoxId> = groups(&boxes).iter().map(|group| group[0]).collect();
+    let heads: Vec<BoxId> = broadcast_groups(&boxes)
+        .iter()
+        .map(|group| group[0])
+        .collect();
     assert_eq!(
         heads,
         (0..heads.len() as u32).map(BoxId).collect::<Vec<_>>()
@@ -66,7 +69,7 @@
     #[case] count: u32,
     #[case] places: u32,
 ) {
-    let told = first_told(&boxes(count, places));
+    let told = data_centre_groups(&boxes(count, places));
     assert_eq!(told.len(), places as usize);
     let mut all = told.concat();
     all.sort();
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: each box compares what it knows with one other at a time, and asks whoever knows more for what it
 //! lacks. What a broadcast missed is found so, and a box that starts learns so what its seeds know.
 
-use crate::membership::gossip::on_gossip;
+use crate::membership::gossip::handle_gossip;
 use crate::membership::missing::MissingData;
 use crate::state::Relay;
 use crate::watch::election::{View, watcher_role};
@@ -69,7 +69,7 @@
 }
 
 /// Makes this box known to others: to those that may follow targets, who tell all they know, and to some more.
-pub(crate) async fn greet(relay: &Rc<Relay>) {
+pub(crate) async fn announce_self(relay: &Rc<Relay>) {
     let now_ms = relay.now_ms();
     let others = relay.members.borrow().ranked(watcher_role(), true, now_ms);
     let greeted = others.iter().take(GREETED_MAX);
@@ -86,7 +86,7 @@
             client.exchange(context, digest).await
         });
     if let Some(news) = relay.heard_from(id, call.await, "exchange") {
-        on_gossip(relay, news);
+        handle_gossip(relay, news);
     }
 }
 
@@ -105,7 +105,7 @@
             client.fetch(context, request).await
         });
     if let Some(news) = relay.heard_from(id, call.await, "fetch") {
-        on_gossip(relay, news);
+        handle_gossip(relay, news);
     }
 }
 
@@ -131,7 +131,7 @@
         });
     match call.await {
         Ok(news) => {
-            on_gossip(relay, news);
+            handle_gossip(relay, news);
             let mut fetching = relay.fetching.subscribe();
             // What the seed knows more is on its way; whoever waits for seeds waits for that.
             let _ = fetching.wait_for(|fetching| !fetching).await;
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -1,7 +1,7 @@
 //! What boxes tell each other, as it is made and taken in: the operators' declarations, the targets, which data centres
 //! are evacuated, and which boxes there are. How it gets around is in [`crate::membership::broadcast`] and [`crate::membership::exchange`].
 
-use crate::membership::broadcast::{pass_on, tell_all};
+use crate::membership::broadcast::{broadcast_gossip, forward_gossip};
 use crate::membership::compression::decompress;
 use crate::membership::exchange::fetch_from;
 use crate::membership::members::MemberUpdate;
@@ -122,7 +122,7 @@
 }
 
 /// Takes what another box tells.
-pub(crate) fn on_gossip(relay: &Rc<Relay>, news: FleetGossip) {
+pub(crate) fn handle_gossip(relay: &Rc<Relay>, news: FleetGossip) {
     let digest = news.digest.clone();
     take_gossip(relay, news);
     fetch_what_lacks(relay, &digest);
@@ -271,22 +271,22 @@
 }
 
 /// Tells all boxes what this box has just learnt of targets from the store.
-pub(crate) fn spread_targets(relay: &Rc<Relay>, changes: TargetChanges) {
+pub(crate) fn broadcast_target_changes(relay: &Rc<Relay>, changes: TargetChanges) {
     let mut news = gossip_message(relay);
     news.target_changes = Some(changes);
-    tell_all(relay, &news);
+    broadcast_gossip(relay, &news);
 }
 
 /// Tells all boxes the declarations that this box has just read in the store.
-pub(crate) fn spread_table(relay: &Rc<Relay>) {
+pub(crate) fn broadcast_declarations(relay: &Rc<Relay>) {
     let mut news = gossip_message(relay);
     news.table = relay.declared().map(|held| shared(&held));
-    tell_all(relay, &news);
+    broadcast_gossip(relay, &news);
 }
 
 /// Tells all boxes what this one stands for now: how current its view is, and which targets are known to leave.
-pub(crate) fn tell_current(relay: &Rc<Relay>) {
-    tell_all(relay, &gossip_message(relay));
+pub(crate) fn broadcast_digest(relay: &Rc<Relay>) {
+    broadcast_gossip(relay, &gossip_message(relay));
 }
 
 /// A box, as its peers call it.
@@ -313,7 +313,7 @@
     }
 
     async fn tell(&self, mut news: FleetGossip) {
-        pass_on(&self.0, &mut news);
+        forward_gossip(&self.0, &mut news);
         if news.follows_store {
             let now_ms = self.0.now_ms();
             self.0.members.borrow_mut().record_store_follower(now_ms);
@@ -322,7 +322,7 @@
     }
 
     async fn hint(&self, hint: TargetHint) {
-        self.0.on_hint(hint);
+        self.0.handle_hint(hint);
     }
 
     async fn acquire(&self, request: AcquireRequest, wait_ms: u32) -> PermitReply {
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -1,7 +1,7 @@
 //! Words on plain targets that boxes of one data centre tell each other at once: one that sees a target turn slow or not
 //! answer spares the others the calls by which each would find out for itself.
 
-use crate::membership::broadcast::groups;
+use crate::membership::broadcast::broadcast_groups;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use peers::{HintWord, TargetHint};
@@ -15,7 +15,7 @@
 
 impl Relay {
     /// Tells the boxes of this data centre, within what a box may tell.
-    pub(crate) fn tell_hint(self: &Rc<Self>, slot: TargetSlot, word: HintWord) {
+    pub(crate) fn broadcast_hint(self: &Rc<Self>, slot: TargetSlot, word: HintWord) {
         let Some(target) = self.id_of(slot) else {
             return;
         };
@@ -43,7 +43,7 @@
         }
         slog::info!(self.log, "word on a target told"; "target" => self.name_of(slot),
             "word" => ?word, "boxes" => near.len());
-        for group in groups(&near) {
+        for group in broadcast_groups(&near) {
             let hint = TargetHint {
                 from: self.id,
                 target,
@@ -55,7 +55,7 @@
     }
 
     /// Takes a word of another box in, and passes it on.
-    pub(crate) fn on_hint(self: &Rc<Self>, mut hint: TargetHint) {
+    pub(crate) fn handle_hint(self: &Rc<Self>, mut hint: TargetHint) {
         let group = std::mem::take(&mut hint.pass_on);
         let slot = self.targets.borrow().slot_of(hint.target);
         if let Some(slot) = slot {
--- a/components/relay/src/membership/registration.rs
+++ b/components/relay/src/membership/registration.rs
@@ -1,8 +1,8 @@
 //! This box's own key in the store, and the keys of the others: how boxes find each other without being
 //! named anywhere.
 
-use crate::membership::exchange::greet;
-use crate::membership::gossip::{tell_current, upsert_member};
+use crate::membership::exchange::announce_self;
+use crate::membership::gossip::{broadcast_digest, upsert_member};
 use crate::membership::key_lease::{HeldLease, KeyTerms};
 use crate::membership::members::INCARNATION_UNKNOWN;
 use crate::state::Relay;
@@ -79,7 +79,7 @@
 
 /// How long a box that has just started leaves its key: not at all where no peer knows it.
 async fn first_pause(relay: &Relay) -> Duration {
-    relay.seeds_asked().await;
+    relay.wait_for_seeds().await;
     if !relay.members.borrow().others().is_empty() {
         return SECOND_LOOK + FIRST_KEY_WITHIN.mul_f64(rand::random());
     }
@@ -97,7 +97,7 @@
         relay.confirm(view);
     }
     if followed.any() {
-        tell_current(relay);
+        broadcast_digest(relay);
     }
     followed.any()
 }
@@ -163,12 +163,12 @@
 
 /// Reads the keys of all boxes: at once where no seed named others, and then now and then, as they were some
 /// seconds ago. No box watches them: each new box makes itself known to all that it finds.
-pub(crate) async fn read_boxes(relay: Rc<Relay>) {
+pub(crate) async fn discover_boxes(relay: Rc<Relay>) {
     let mut backoff = Backoff::patient();
-    relay.seeds_asked().await;
+    relay.wait_for_seeds().await;
     let mut begun = !relay.members.borrow().others().is_empty();
     if begun {
-        greet(&relay).await;
+        announce_self(&relay).await;
         sleep(SECOND_LOOK).await;
     }
     // Boxes that start together find each other at the second look and the third.
@@ -182,7 +182,7 @@
                 take_keys(&relay, &items);
                 relay.boxes_read.send_replace(true);
                 if !std::mem::replace(&mut begun, true) {
-                    greet(&relay).await;
+                    announce_self(&relay).await;
                 }
                 match pauses.next() {
                     Some(pause) => sleep(pause).await,
--- a/components/relay/src/membership/startup.rs
+++ b/components/relay/src/membership/startup.rs
@@ -17,7 +17,7 @@
 
 impl Relay {
     /// Waits until the boxes that the settings name were asked, for a short time at the most.
-    pub(crate) async fn seeds_asked(&self) {
+    pub(crate) async fn wait_for_seeds(&self) {
         let mut asked = self.seeds_asked.subscribe();
         // A seed that is silent is not waited for: the store knows what it would say.
         let _ = timeout(SEEDS_LIMIT, asked.wait_for(|asked| *asked)).await;
@@ -43,15 +43,15 @@
             return;
         }
         let synced = async {
-            self.until_known(View::Declarations).await;
-            self.until_known(View::Targets).await;
+            self.wait_until_known(View::Declarations).await;
+            self.wait_until_known(View::Targets).await;
         };
         // After the limit the request is answered by what is known, which may be nothing.
         let _ = timeout(INFORMED_LIMIT, synced).await;
     }
 
     /// Waits until this box knows a view.
-    pub(crate) async fn until_known(&self, view: View) {
+    pub(crate) async fn wait_until_known(&self, view: View) {
         let mut changes = self.target_changes.subscribe();
         while !self.knows(view) {
             if changes.changed().await.is_err() {
--- a/components/relay/src/quarantine/spread.rs
+++ b/components/relay/src/quarantine/spread.rs
@@ -1,7 +1,7 @@
 //! What boxes tell each other of requests under which targets end: each end at once to all, and to a box that starts what
 //! is withheld.
 
-use crate::membership::broadcast::groups;
+use crate::membership::broadcast::broadcast_groups;
 use crate::state::Relay;
 use peers::EndsTold;
 use prelude::{Acquittal, BoxId, RequestKey, TargetEnd};
@@ -43,7 +43,7 @@
 
     fn tell_all_of_ends(self: &Rc<Self>, told: &EndsTold) {
         let others = self.members.borrow().broadcast_order(self.now_ms());
-        for group in groups(&others) {
+        for group in broadcast_groups(&others) {
             tokio::task::spawn_local(tell_group(self.clone(), told.clone(), group));
         }
     }
@@ -123,7 +123,7 @@
 /// Asks what is withheld, on a box that has just started, as soon as it knows another.
 pub(super) async fn ask_at_start(relay: Rc<Relay>) {
     let until_ms = relay.now_ms() + ASKS_FOR_MS;
-    relay.seeds_asked().await;
+    relay.wait_for_seeds().await;
     while relay.now_ms() < until_ms && !relay.ask_what_is_withheld().await {
         sleep(ASK_EACH).await;
     }
--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -1,6 +1,6 @@
 //! How a limit reaches all boxes: whoever has it from the target sends it to the target's coordinator, which sends it to all.
 
-use crate::membership::broadcast::tell_all;
+use crate::membership::broadcast::broadcast_gossip;
 use crate::membership::gossip::gossip_message;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -66,7 +66,7 @@
             }
             let mut message = gossip_message(self);
             message.rates = self.take_pending_rates();
-            tell_all(self, &message);
+            broadcast_gossip(self, &message);
         }
         self.rate_limits.sending.set(false);
     }
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -5,10 +5,10 @@
 use crate::ingress::accept;
 use crate::ingress::overrun::run_overrun;
 use crate::ingress::readiness;
-use crate::membership::exchange::{greet, run_exchanges};
+use crate::membership::exchange::{announce_self, run_exchanges};
 use crate::membership::gossip::Handler;
 use crate::membership::members::{INCARNATION_UNKNOWN, Members};
-use crate::membership::registration::{box_id, keep_registration, read_boxes};
+use crate::membership::registration::{box_id, discover_boxes, keep_registration};
 use crate::quarantine::record::read_records;
 use crate::rate_limit::state::RateLimits;
 use crate::reconfigure::run_settings;
@@ -169,7 +169,7 @@
     spawn_local(run_asking(relay.clone()));
     spawn_local(run_missing(relay.clone()));
     spawn_local(run_snapshots(relay.clone()));
-    spawn_local(read_boxes(relay.clone()));
+    spawn_local(discover_boxes(relay.clone()));
     spawn_local(keep_registration(relay.clone()));
     spawn_local(read_records(relay.clone()));
     spawn_local(run_exchanges(relay.clone()));
@@ -233,7 +233,7 @@
         relay.stopping.cancel();
         // The others hear at once that this box holds no role any more.
         let told = relay.clone();
-        spawn_local(async move { greet(&told).await });
+        spawn_local(async move { announce_self(&told).await });
         sleep(LAST_CHANNELS.min(grace / 2)).await;
         while relay.in_progress.get() > 0 {
             let ended = relay.requests_ended.notified();
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -1,7 +1,9 @@
 //! Follows the platform's store, where it is this box's turn: the operators' declarations and the targets.
 //! What is learnt is told to the other boxes at once.
 
-use crate::membership::gossip::{spread_table, spread_targets, tell_current};
+use crate::membership::gossip::{
+    broadcast_declarations, broadcast_digest, broadcast_target_changes,
+};
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
 use crate::watch::election::{
@@ -47,7 +49,7 @@
 /// Follows a view for as long as the box lives, while it must.
 pub(crate) async fn follow(relay: Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
-    relay.seeds_asked().await;
+    relay.wait_for_seeds().await;
     learn(&relay, view).await;
     loop {
         if !must_watch(&relay, view) {
@@ -78,7 +80,7 @@
         let listed = tokio::select! {
             listed = read_stale(relay, view) => listed,
             // What the store still has to say would be read for nothing.
-            () = relay.until_known(view) => return,
+            () = relay.wait_until_known(view) => return,
         };
         match listed {
             Ok(Some((items, version))) => {
@@ -200,7 +202,7 @@
     loop {
         sleep(CONFIRM_EACH).await;
         if relay.asking.get() && !relay.following.get().any() {
-            tell_current(&relay);
+            broadcast_digest(&relay);
         }
     }
 }
@@ -214,10 +216,10 @@
     relay.confirm(view);
     match taken {
         Taken::Nothing => {}
-        Taken::Table => spread_table(relay),
-        Taken::Targets(Some(told)) => spread_targets(relay, told),
+        Taken::Table => broadcast_declarations(relay),
+        Taken::Targets(Some(told)) => broadcast_target_changes(relay, told),
         // Its version is in what this box says next; whoever lacks something asks for it.
-        Taken::Targets(None) => tell_current(relay),
+        Taken::Targets(None) => broadcast_digest(relay),
     }
     Ok(version)
 }
@@ -289,7 +291,7 @@
         false => known.read(named, version),
     });
     if changed {
-        tell_current(relay);
+        broadcast_digest(relay);
     }
 }
 
@@ -298,14 +300,14 @@
         if let Some(name) = evacuated_data_centre(&event.key) {
             let (holds, version) = (event.value.is_some(), event.version());
             if relay.change_evacuations("store", |known| known.ordered(name, holds, version)) {
-                tell_current(relay);
+                broadcast_digest(relay);
             }
             continue;
         }
         if let (CONFIG_KEY, Some(text)) = (event.key.as_str(), event.value)
             && relay.declare(&text, "store")
         {
-            spread_table(relay);
+            broadcast_declarations(relay);
         }
     }
 }
@@ -374,6 +376,6 @@
             unlisted,
             root: None,
         };
-        spread_targets(relay, told);
+        broadcast_target_changes(relay, told);
     }
 }
