--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -1,5 +1,5 @@
 //! Generations: a permit, one engine, and events passed on as they come. A generation whose engine leaves
-//! goes on at another (see [`crate::migration::mover`]).
+//! goes on at another (see [`crate::migration::migrator`]).
 
 use crate::dispatch::dispatcher::refusal;
 use crate::dispatch::permits::{Permit, Want};
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -12,8 +12,8 @@
 use crate::held::unsent::Unsent;
 use crate::ingress::accept::{After, count, write_reply};
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
-use crate::migration::moved::Moved;
-use crate::migration::mover::{Mover, Step};
+use crate::migration::migrated_copy::MigratedCopy;
+use crate::migration::migrator::{MigrationStep, Migrator};
 use crate::quarantine::broken::Break;
 use crate::state::Relay;
 use http1::{Channel, Framing, push_chunk};
@@ -164,7 +164,7 @@
         let left_ms = due_ms.saturating_sub(self.relay.now_ms());
         let due = Instant::now() + Duration::from_millis(left_ms);
         let head = forwarded_response_head(&opened.head);
-        let mut mover = Mover::new(self.relay, self.engine);
+        let mut migrator = Migrator::new(self.relay, self.engine);
         let mut silent_at = Instant::now() + SILENT_LIMIT;
         let mut doubted = false;
         let mut read_before = true;
@@ -203,13 +203,13 @@
                     None
                 }
                 () = self.unsent.freed(), if !reads => None,
-                step = mover.next(&self.permit, self.incoming.id()) => Some(step),
+                step = migrator.next_step(&self.permit, self.incoming.id()) => Some(step),
                 () = sleep_until(silent_at), if !doubted && reads => {
                     doubted = true;
                     self.tell_engine(EngineFault::Silent);
                     None
                 }
-                piece = opened.next(), if mover.reads_source() && reads => match piece {
+                piece = opened.next(), if migrator.is_source_open() && reads => match piece {
                     Ok(Some(data)) => {
                         silent_at = Instant::now() + SILENT_LIMIT;
                         match self.pass(caller, &head, &data, closes) {
@@ -217,16 +217,16 @@
                             Err(ended) => return ended,
                         }
                     }
-                    Ok(None) if !(mover.stops_source() && is_unframed(&opened)) => {
+                    Ok(None) if !(migrator.is_stopping_source() && is_unframed(&opened)) => {
                         return self.whole(opened);
                     }
                     Ok(None) => {
-                        mover.source_ended();
+                        migrator.mark_source_closed();
                         None
                     }
-                    Err(why) if mover.stops_source() => {
+                    Err(why) if migrator.is_stopping_source() => {
                         slog::debug!(self.relay.log, "source closed"; "why" => why);
-                        mover.source_ended();
+                        migrator.mark_source_closed();
                         None
                     }
                     Err(_) if self.was_held_up => {
@@ -241,8 +241,8 @@
                 },
             };
             let from = match step {
-                Some(Step::Continue(from)) => from,
-                Some(Step::Failed) if !mover.reads_source() => {
+                Some(MigrationStep::Continue(from)) => from,
+                Some(MigrationStep::Failed) if !migrator.is_source_open() => {
                     return Ended::Broken("it was stopped and could not be moved");
                 }
                 _ => continue,
@@ -251,7 +251,7 @@
                 Ok(next) => opened = next,
                 Err(ended) => return ended,
             }
-            mover = Mover::new(self.relay, self.engine);
+            migrator = Migrator::new(self.relay, self.engine);
         }
     }
 
@@ -331,7 +331,7 @@
     }
 
     /// Has the generation go on where its copy lies.
-    async fn go_on(&mut self, from: Moved, due: Instant) -> Result<Opened, Ended> {
+    async fn go_on(&mut self, from: MigratedCopy, due: Instant) -> Result<Opened, Ended> {
         // What was cut off with the source's stream comes again from the copy.
         self.splitter = EventSplitter::default();
         let continuation = Continuation {
@@ -340,7 +340,7 @@
             last_event: self.last_event.clone(),
         };
         let ways = [
-            (from.to, SendKind::Continuation),
+            (from.target, SendKind::Continuation),
             (from.source_slot, SendKind::Resumption),
         ];
         for (slot, kind) in ways {
@@ -362,7 +362,7 @@
                     self.permit.slot = slot;
                     // What the former stream was held up by says nothing of this one.
                     self.was_held_up = false;
-                    match slot == from.to {
+                    match slot == from.target {
                         true => from.free_source(self.relay),
                         false => from.free(self.relay),
                     }
--- a/components/relay/src/migration/moved.rs
+++ b/components/relay/src/migration/migrated_copy.rs
@@ -9,19 +9,23 @@
 
 /// A generation whose copy waits for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Moved {
+pub(crate) struct MigratedCopy {
     /// The engine that has the copy.
-    pub to: TargetSlot,
+    pub target: TargetSlot,
     /// The engine that it ran on, which names the copy.
     pub source: SocketAddr,
     pub source_slot: TargetSlot,
     pub copy: Box<str>,
 }
 
-impl Moved {
+impl MigratedCopy {
     /// Frees the copy, which nobody will use.
     pub(crate) fn free(&self, relay: &Rc<Relay>) {
-        let to = relay.targets.borrow().get(self.to).map(|t| t.entry.address);
+        let to = relay
+            .targets
+            .borrow()
+            .get(self.target)
+            .map(|t| t.entry.address);
         if let Some(to) = to {
             free_copy(relay, to, &self.copy);
         }
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/migrator.rs
@@ -3,7 +3,7 @@
 
 use crate::dispatch::permits::Permit;
 use crate::forwarding::control::control;
-use crate::migration::moved::{Moved, free_copy};
+use crate::migration::migrated_copy::{MigratedCopy, free_copy};
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetSlot};
 use peers::RelocateReply;
@@ -18,29 +18,29 @@
 use tokio::time::sleep;
 
 /// Pause before a copy is asked for again.
-const AGAIN: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// The same where its engine stays: there is time, and engines that leave need the links.
-const EVACUATED_AGAIN: Duration = Duration::from_millis(500);
+const EVACUATED_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Tries to move one generation.
-const TRIES_MAX: u32 = 30;
+const MAX_ATTEMPTS: u32 = 30;
 /// How long the source's stream may take to close after the stop.
-const SOURCE_CLOSE_LIMIT: Duration = Duration::from_millis(150);
+const SOURCE_CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Generations with fewer tokens left than this end sooner than they move.
-const TOKENS_LEFT_MIN: u32 = 48;
+const MIN_REMAINING_TOKENS: u32 = 48;
 
 /// What a move tells whoever reads the generation's stream.
-pub(crate) enum Step {
+pub(crate) enum MigrationStep {
     /// The generation is about to be stopped: the end of its stream says nothing.
     Stopping,
     /// It goes on elsewhere.
-    Continue(Moved),
+    Continue(MigratedCopy),
     /// It was not stopped, or is not known to be.
     Failed,
 }
 
 /// Which generation is moved, and from where.
 #[derive(Clone, Debug)]
-struct Job {
+struct MigrationJob {
     cause: Cause,
     pool: PoolId,
     serial: u64,
@@ -51,48 +51,48 @@
 }
 
 /// Watches the engine of one generation, and moves the generation when it leaves.
-pub(crate) struct Mover {
+pub(crate) struct Migrator {
     relay: Rc<Relay>,
     changes: watch::Receiver<u64>,
-    looked: bool,
-    moves: bool,
+    checked: bool,
+    can_migrate: bool,
     /// What the move under way tells. Once this is dropped, the move ends by itself: it frees the copy that it made.
-    steps: Option<mpsc::UnboundedReceiver<Step>>,
+    steps: Option<mpsc::UnboundedReceiver<MigrationStep>>,
     stopping: bool,
     source_open: bool,
-    waiting: Option<Moved>,
+    ready_copy: Option<MigratedCopy>,
     /// Why the move that is under way was begun.
     cause: Option<Cause>,
     /// It was tried to move the generation off its evacuated engine, in vain: it ends there.
-    stays_evacuated: bool,
+    move_failed: bool,
 }
 
 /// Why a generation is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
     /// Its engine leaves, and takes with it what runs there.
-    Leaves,
+    Leaving,
     /// Its engine's data centre is evacuated. The engine serves what it has.
     Evacuated,
 }
 
 impl Cause {
     /// Pause before a move is tried again.
-    fn pause(self) -> Duration {
+    fn retry_pause(self) -> Duration {
         match self {
-            Self::Leaves => AGAIN,
-            Self::Evacuated => EVACUATED_AGAIN,
+            Self::Leaving => RETRY_PAUSE,
+            Self::Evacuated => EVACUATED_RETRY_PAUSE,
         }
     }
 }
 
-impl Drop for Mover {
+impl Drop for Migrator {
     fn drop(&mut self) {
-        let mut unused = self.waiting.take();
+        let mut unused = self.ready_copy.take();
         if let Some(steps) = &mut self.steps {
             steps.close();
             while let Ok(step) = steps.try_recv() {
-                if let Step::Continue(moved) = step {
+                if let MigrationStep::Continue(moved) = step {
                     unused = Some(moved);
                 }
             }
@@ -103,93 +103,94 @@
     }
 }
 
-impl Mover {
+impl Migrator {
     pub(crate) fn new(relay: &Rc<Relay>, engine: Option<EngineTraits>) -> Self {
         Self {
             relay: relay.clone(),
             changes: relay.target_changes.subscribe(),
-            looked: false,
-            moves: engine.is_some_and(|engine| engine.moves) && relay.file().has(Mechanism::Moves),
+            checked: false,
+            can_migrate: engine.is_some_and(|engine| engine.moves)
+                && relay.file().has(Mechanism::Moves),
             steps: None,
             stopping: false,
             source_open: true,
-            waiting: None,
+            ready_copy: None,
             cause: None,
-            stays_evacuated: false,
+            move_failed: false,
         }
     }
 
     /// Whether there is more to be read from the engine that the generation ran on.
-    pub(crate) fn reads_source(&self) -> bool {
+    pub(crate) fn is_source_open(&self) -> bool {
         self.source_open
     }
 
     /// Whether that engine was told to stop, so that the end of its stream is not the generation's.
-    pub(crate) fn stops_source(&self) -> bool {
+    pub(crate) fn is_stopping_source(&self) -> bool {
         self.stopping
     }
 
     /// Notes that the engine's stream is closed.
-    pub(crate) fn source_ended(&mut self) {
+    pub(crate) fn mark_source_closed(&mut self) {
         self.source_open = false;
     }
 
     /// Waits for the next step. May be dropped and called again.
-    pub(crate) async fn next(&mut self, permit: &Permit, id: &str) -> Step {
+    pub(crate) async fn next_step(&mut self, permit: &Permit, id: &str) -> MigrationStep {
         loop {
-            if self.waiting.is_some() && self.source_open {
-                sleep(SOURCE_CLOSE_LIMIT).await;
+            if self.ready_copy.is_some() && self.source_open {
+                sleep(SOURCE_CLOSE_TIMEOUT).await;
                 self.source_open = false;
             }
-            if let Some(moved) = self.waiting.take() {
-                return Step::Continue(moved);
+            if let Some(moved) = self.ready_copy.take() {
+                return MigrationStep::Continue(moved);
             }
             if let Some(steps) = &mut self.steps {
                 match steps.recv().await {
-                    Some(Step::Continue(moved)) => self.waiting = Some(moved),
-                    Some(Step::Stopping) => {
+                    Some(MigrationStep::Continue(moved)) => self.ready_copy = Some(moved),
+                    Some(MigrationStep::Stopping) => {
                         self.stopping = true;
-                        return Step::Stopping;
+                        return MigrationStep::Stopping;
                     }
-                    Some(Step::Failed) => {
+                    Some(MigrationStep::Failed) => {
                         self.stopping = false;
-                        return Step::Failed;
+                        return MigrationStep::Failed;
                     }
                     None if self.cause == Some(Cause::Evacuated) => {
                         // The engine may still leave; the generation is moved then.
-                        self.stays_evacuated = true;
+                        self.move_failed = true;
                         self.steps = None;
-                        self.looked = false;
+                        self.checked = false;
                     }
                     None => std::future::pending::<()>().await,
                 }
                 continue;
             }
-            if self.looked && self.changes.changed().await.is_err() {
+            if self.checked && self.changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
-            self.looked = true;
-            self.look(permit, id);
+            self.checked = true;
+            self.start_if_needed(permit, id);
         }
     }
 
     /// Begins to move the generation where its engine leaves, or is to be left.
-    fn look(&mut self, permit: &Permit, id: &str) {
+    fn start_if_needed(&mut self, permit: &Permit, id: &str) {
         let targets = self.relay.targets.borrow();
         let Some(target) = targets.get(permit.slot) else {
             return;
         };
         let cause = match target.belief {
-            Belief::Ready if !targets.is_evacuated(target) || self.stays_evacuated => return,
+            Belief::Ready if !targets.is_evacuated(target) || self.move_failed => return,
             Belief::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
             Belief::Ready => Cause::Evacuated,
-            _ => Cause::Leaves,
+            _ => Cause::Leaving,
         };
-        if !self.moves {
+        if !self.can_migrate {
             return;
         }
         self.cause = Some(cause);
-        let job = Job {
+        let job = MigrationJob {
             cause,
             pool: permit.pool,
             serial: permit.serial,
@@ -206,12 +207,12 @@
 }
 
 /// A turn on the link of an engine; it is over when this is dropped.
-struct Turn<'a> {
+struct TransferSlot<'a> {
     relay: &'a Rc<Relay>,
-    job: &'a Job,
+    job: &'a MigrationJob,
 }
 
-impl Drop for Turn<'_> {
+impl Drop for TransferSlot<'_> {
     fn drop(&mut self) {
         let job = self.job;
         self.relay
@@ -220,142 +221,152 @@
 }
 
 /// What became of one try to move a generation.
-enum Try {
+enum Attempt {
     /// It is over, one way or the other.
-    Over,
+    Done,
     /// It is tried again, elsewhere where an engine is named.
-    Again(&'static str, Option<TargetId>),
+    Retry(&'static str, Option<TargetId>),
 }
 
-impl Job {
-    async fn run(&self, relay: &Rc<Relay>, steps: &mpsc::UnboundedSender<Step>) {
+impl MigrationJob {
+    async fn run(&self, relay: &Rc<Relay>, steps: &mpsc::UnboundedSender<MigrationStep>) {
         let mut avoid: Vec<TargetId> = Vec::new();
-        for tries in 0..TRIES_MAX {
-            let Some(run) = relay.open_generations.borrow().get(self.serial) else {
+        for attempt in 0..MAX_ATTEMPTS {
+            let Some(generation) = relay.open_generations.borrow().get(self.serial) else {
                 return;
             };
             if steps.is_closed() {
                 return;
             }
-            if run.tokens > 0 && run.request.max_tokens < run.tokens + TOKENS_LEFT_MIN {
-                return self.note(relay, "it ends sooner", tries);
+            if generation.tokens > 0
+                && generation.request.max_tokens < generation.tokens + MIN_REMAINING_TOKENS
+            {
+                return self.log_not_moved(relay, "it ends sooner", attempt);
             }
-            let may_stay = self.cause == Cause::Evacuated;
+            let is_optional = self.cause == Cause::Evacuated;
             let found = relay
-                .relocate(self.pool, self.serial, self.source_id, &avoid, may_stay)
+                .relocate(self.pool, self.serial, self.source_id, &avoid, is_optional)
                 .await;
-            let to = match found {
-                Ok(to) if relay.takes_work(to) => to,
-                Ok(to) => {
+            let target = match found {
+                Ok(target) if relay.takes_work(target) => target,
+                Ok(target) => {
                     // The dispatcher has not heard yet that it leaves too.
-                    avoid.extend(relay.id_of(to));
+                    avoid.extend(relay.id_of(target));
                     relay.tell_relocated(self.pool, self.serial, self.source_id);
                     continue;
                 }
                 Err(RelocateReply::Wait) => continue,
                 Err(reply) => {
                     slog::info!(relay.log, "not moved"; "id" => &*self.id, "why" => ?reply,
-                        "tries" => tries);
-                    sleep(self.cause.pause()).await;
+                        "tries" => attempt);
+                    sleep(self.cause.retry_pause()).await;
                     continue;
                 }
             };
-            match self.try_to(relay, to, steps).await {
-                Try::Over => return,
-                Try::Again(why, other) => {
-                    self.note(relay, why, tries);
+            match self.attempt(relay, target, steps).await {
+                Attempt::Done => return,
+                Attempt::Retry(why, other) => {
+                    self.log_not_moved(relay, why, attempt);
                     avoid.extend(other);
-                    sleep(self.cause.pause()).await;
+                    sleep(self.cause.retry_pause()).await;
                 }
             }
         }
     }
 
     /// Copies the generation to an engine, stops it, and has it go on there.
-    async fn try_to(
+    async fn attempt(
         &self,
         relay: &Rc<Relay>,
-        to: TargetSlot,
-        steps: &mpsc::UnboundedSender<Step>,
-    ) -> Try {
-        let _turn = Turn { relay, job: self };
-        let Some(to_address) = relay.targets.borrow().get(to).map(|t| t.entry.address) else {
-            return Try::Again("the engine is gone", None);
+        target: TargetSlot,
+        steps: &mpsc::UnboundedSender<MigrationStep>,
+    ) -> Attempt {
+        let _slot = TransferSlot { relay, job: self };
+        let Some(target_address) = relay.targets.borrow().get(target).map(|t| t.entry.address)
+        else {
+            return Attempt::Retry("the engine is gone", None);
         };
-        let began_ms = relay.now_ms();
-        let to_id = relay.id_of(to);
-        let first = match self.copy(relay, to, false).await {
+        let started_ms = relay.now_ms();
+        let target_id = relay.id_of(target);
+        let first = match self.copy(relay, target, false).await {
             CopyReply::Done { copy, .. } => copy,
-            CopyReply::NotRunning => return Try::Again("it does not run yet, or no more", None),
-            CopyReply::UnderWay => return Try::Again("another copy is under way", None),
+            CopyReply::NotRunning => {
+                return Attempt::Retry("it does not run yet, or no more", None);
+            }
+            CopyReply::UnderWay => return Attempt::Retry("another copy is under way", None),
             reply => {
                 slog::info!(relay.log, "copy failed"; "id" => &*self.id, "reply" => ?reply);
-                return Try::Again("the copy failed", to_id);
+                return Attempt::Retry("the copy failed", target_id);
             }
         };
         let copied_ms = relay.now_ms();
-        if relay.is_over(to) {
+        if relay.is_over(target) {
             // The copy went with the life that held it: a stop now would end the generation.
-            free_copy(relay, to_address, &first);
-            return Try::Again("the engine is gone", to_id);
+            free_copy(relay, target_address, &first);
+            return Attempt::Retry("the engine is gone", target_id);
         }
-        if steps.send(Step::Stopping).is_err() {
+        if steps.send(MigrationStep::Stopping).is_err() {
             // It came to its own end, or its caller left, while it was copied.
-            free_copy(relay, to_address, &first);
-            return Try::Over;
+            free_copy(relay, target_address, &first);
+            return Attempt::Done;
         }
-        match self.copy(relay, to, true).await {
+        match self.copy(relay, target, true).await {
             CopyReply::Done { copy, events_made } => {
                 slog::info!(relay.log, "generation stopped to be moved"; "id" => &*self.id,
-                    "events" => events_made, "copied_in_ms" => copied_ms - began_ms,
+                    "events" => events_made, "copied_in_ms" => copied_ms - started_ms,
                     "stopped_in_ms" => relay.now_ms() - copied_ms);
-                if !self.goes_on(to, copy, steps) {
-                    free_copy(relay, to_address, &first);
+                if !self.resume_at(target, copy, steps) {
+                    free_copy(relay, target_address, &first);
                 }
-                Try::Over
+                Attempt::Done
             }
             CopyReply::NoRoom { kept: Some(copy) } => {
                 slog::info!(relay.log, "generation goes on at its source"; "id" => &*self.id);
-                self.goes_on(self.source, copy, steps);
-                Try::Over
+                self.resume_at(self.source, copy, steps);
+                Attempt::Done
             }
             CopyReply::NotRunning => {
                 // It came to its own end meanwhile.
-                free_copy(relay, to_address, &first);
-                Try::Over
+                free_copy(relay, target_address, &first);
+                Attempt::Done
             }
             reply => {
                 slog::info!(relay.log, "stop failed"; "id" => &*self.id, "reply" => ?reply);
-                free_copy(relay, to_address, &first);
-                match steps.send(Step::Failed) {
-                    Ok(()) => Try::Again("the stop failed", to_id),
-                    Err(_) => Try::Over,
+                free_copy(relay, target_address, &first);
+                match steps.send(MigrationStep::Failed) {
+                    Ok(()) => Attempt::Retry("the stop failed", target_id),
+                    Err(_) => Attempt::Done,
                 }
             }
         }
     }
 
     /// Has the generation go on. False where nobody waits for that any more.
-    fn goes_on(&self, to: TargetSlot, copy: Box<str>, steps: &mpsc::UnboundedSender<Step>) -> bool {
-        let moved = Moved {
-            to,
+    fn resume_at(
+        &self,
+        target: TargetSlot,
+        copy: Box<str>,
+        steps: &mpsc::UnboundedSender<MigrationStep>,
+    ) -> bool {
+        let moved = MigratedCopy {
+            target,
             source: self.source_address,
             source_slot: self.source,
             copy,
         };
-        steps.send(Step::Continue(moved)).is_ok()
+        steps.send(MigrationStep::Continue(moved)).is_ok()
     }
 
-    fn note(&self, relay: &Relay, why: &'static str, tries: u32) {
-        slog::info!(relay.log, "not moved"; "id" => &*self.id, "why" => why, "tries" => tries);
+    fn log_not_moved(&self, relay: &Relay, why: &'static str, attempt: u32) {
+        slog::info!(relay.log, "not moved"; "id" => &*self.id, "why" => why, "tries" => attempt);
     }
 
-    async fn copy(&self, relay: &Rc<Relay>, to: TargetSlot, stops: bool) -> CopyReply {
-        let to_address = relay.targets.borrow().get(to).map(|t| t.entry.address);
-        let Some(to_address) = to_address else {
+    async fn copy(&self, relay: &Rc<Relay>, target: TargetSlot, stops: bool) -> CopyReply {
+        let target_address = relay.targets.borrow().get(target).map(|t| t.entry.address);
+        let Some(target_address) = target_address else {
             return CopyReply::NoRoom { kept: None };
         };
-        let call = copy_request(self.source_address, &self.id, to_address, stops);
+        let call = copy_request(self.source_address, &self.id, target_address, stops);
         let reply = control(relay, self.source_address, &call).await;
         reply.map_or(CopyReply::Unknown { status: 0 }, |(status, body)| {
             parse_copy_reply(status, &body)
--- a/components/relay/src/migration/mod.rs
+++ b/components/relay/src/migration/mod.rs
@@ -1,4 +1,4 @@
 //! Generations that go on at another engine.
 
-pub(crate) mod moved;
-pub(crate) mod mover;
+pub(crate) mod migrated_copy;
+pub(crate) mod migrator;
