--- a/components/relay/src/migration/migrated_copy.rs
+++ b/components/relay/src/migration/migrated_copy.rs
@@ -1,4 +1,4 @@
-//! A generation's copy at another engine, until the generation goes on there or the copy is freed.
+//! The KV cache copy of a migrating generation, from its transfer until the generation resumes or the copy is freed.
 
 use crate::forwarding::control::control;
 use crate::state::Relay;
@@ -7,45 +7,46 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A generation whose copy waits for it.
+/// A generation that was stopped at its source and can resume from a copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct MigratedCopy {
-    /// The engine that has the copy.
+    /// The engine that holds the copy.
     pub target: TargetSlot,
-    /// The engine that it ran on, which names the copy.
+    /// Address of the engine that the generation ran on; it issued the copy's name.
     pub source: SocketAddr,
     pub source_slot: TargetSlot,
     pub copy: Box<str>,
 }
 
 impl MigratedCopy {
-    /// Frees the copy, which nobody will use.
+    /// Frees the unused copy at its engine.
     pub(crate) fn free(&self, relay: &Rc<Relay>) {
-        let to = relay
+        let address = relay
             .targets
             .borrow()
             .get(self.target)
             .map(|t| t.entry.address);
-        if let Some(to) = to {
-            free_copy(relay, to, &self.copy);
+        if let Some(address) = address {
+            free_copy(relay, address, &self.copy);
         }
     }
 
-    /// Frees what its source has kept of a generation that goes on elsewhere, where the source stays.
+    /// Frees the state that the source engine keeps of a generation that resumed elsewhere. Skipped where the source is leaving,
+    /// since its memory goes with it.
     pub(crate) fn free_source(&self, relay: &Rc<Relay>) {
-        let stays = relay
+        let source_stays = relay
             .targets
             .borrow()
             .get(self.source_slot)
             .is_some_and(|t| t.belief == Belief::Ready);
-        if stays {
+        if source_stays {
             free_copy(relay, self.source, &self.copy);
         }
     }
 }
 
-/// Frees a copy that nobody will use, at the engine that holds it. Left alone it keeps some thousands of tokens for many
-/// seconds, of which no ledger knows: generations there are preempted.
+/// Frees an unused copy at the engine that holds it. Otherwise it occupies some thousands of tokens for many seconds without
+/// any ledger accounting for them, and generations at that engine are preempted.
 pub(super) fn free_copy(relay: &Rc<Relay>, holder: SocketAddr, copy: &str) {
     metrics::counter!("shuntpier_copies_freed").increment(1);
     let (relay, call) = (relay.clone(), drop_copy_request(holder, copy));
--- a/components/relay/src/migration/migrator.rs
+++ b/components/relay/src/migration/migrator.rs
@@ -1,5 +1,5 @@
-//! Moves a running generation off an engine that leaves: a first copy while it runs, then a stop with what
-//! is new, then on at the other engine. The decision where to is the dispatcher's.
+//! Live migration of a running generation off an engine that is leaving: a first copy of its KV cache while it runs, then a
+//! stop with a copy of what was added since, then resumption at the other engine. The dispatcher chooses that engine.
 
 use crate::dispatch::permits::Permit;
 use crate::forwarding::control::control;
@@ -17,28 +17,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Pause before a copy is asked for again.
+/// Pause before the next attempt to copy a generation.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// The same where its engine stays: there is time, and engines that leave need the links.
+/// The same for a generation whose engine stays: it is not urgent, and engines that leave need the links.
 const EVACUATED_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Tries to move one generation.
+/// Attempts to move one generation.
 const MAX_ATTEMPTS: u32 = 30;
-/// How long the source's stream may take to close after the stop.
+/// How long the source's stream may take to close after the generation was stopped.
 const SOURCE_CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Generations with fewer tokens left than this end sooner than they move.
+/// Generations with fewer tokens left than this are not moved: they finish before the move would.
 const MIN_REMAINING_TOKENS: u32 = 48;
 
-/// What a move tells whoever reads the generation's stream.
+/// Progress of a migration, sent to the reader of the generation's stream.
 pub(crate) enum MigrationStep {
-    /// The generation is about to be stopped: the end of its stream says nothing.
+    /// The generation is about to be stopped: the end of its source's stream is not the end of the generation.
     Stopping,
-    /// It goes on elsewhere.
+    /// The generation resumes from this copy.
     Continue(MigratedCopy),
-    /// It was not stopped, or is not known to be.
+    /// The stop failed; the generation may still run at its source.
     Failed,
 }
 
-/// Which generation is moved, and from where.
+/// One migration: the generation, its source engine and the cause.
 #[derive(Clone, Debug)]
 struct MigrationJob {
     cause: Cause,
@@ -50,34 +50,34 @@
     source_address: SocketAddr,
 }
 
-/// Watches the engine of one generation, and moves the generation when it leaves.
+/// Watches the engine of one generation, and migrates the generation when that engine leaves or is evacuated.
 pub(crate) struct Migrator {
     relay: Rc<Relay>,
     changes: watch::Receiver<u64>,
     checked: bool,
     can_migrate: bool,
-    /// What the move under way tells. Once this is dropped, the move ends by itself: it frees the copy that it made.
+    /// Progress of the migration in progress. When this is dropped, the migration stops and frees the copy that it made.
     steps: Option<mpsc::UnboundedReceiver<MigrationStep>>,
     stopping: bool,
     source_open: bool,
     ready_copy: Option<MigratedCopy>,
-    /// Why the move that is under way was begun.
+    /// Cause of the migration in progress.
     cause: Option<Cause>,
-    /// It was tried to move the generation off its evacuated engine, in vain: it ends there.
+    /// All attempts to move the generation off its evacuated engine failed: it finishes there unless the engine leaves.
     move_failed: bool,
 }
 
 /// Why a generation is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// Its engine leaves, and takes with it what runs there.
+    /// Its engine is leaving; generations that still run there are lost.
     Leaving,
-    /// Its engine's data centre is evacuated. The engine serves what it has.
+    /// Its engine's data centre is evacuated. The engine still finishes what it runs.
     Evacuated,
 }
 
 impl Cause {
-    /// Pause before a move is tried again.
+    /// Pause before the next attempt.
     fn retry_pause(self) -> Duration {
         match self {
             Self::Leaving => RETRY_PAUSE,
@@ -92,13 +92,13 @@
         if let Some(steps) = &mut self.steps {
             steps.close();
             while let Ok(step) = steps.try_recv() {
-                if let MigrationStep::Continue(moved) = step {
-                    unused = Some(moved);
+                if let MigrationStep::Continue(migrated) = step {
+                    unused = Some(migrated);
                 }
             }
         }
-        if let Some(moved) = unused {
-            moved.free(&self.relay);
+        if let Some(migrated) = unused {
+            migrated.free(&self.relay);
         }
     }
 }
@@ -120,34 +120,34 @@
         }
     }
 
-    /// Whether there is more to be read from the engine that the generation ran on.
+    /// Whether the source engine's stream may deliver more events.
     pub(crate) fn is_source_open(&self) -> bool {
         self.source_open
     }
 
-    /// Whether that engine was told to stop, so that the end of its stream is not the generation's.
+    /// Whether the source engine is being asked to stop the generation, so that the end of its stream is not the generation's.
     pub(crate) fn is_stopping_source(&self) -> bool {
         self.stopping
     }
 
-    /// Notes that the engine's stream is closed.
+    /// Records that the source engine's stream has closed.
     pub(crate) fn mark_source_closed(&mut self) {
         self.source_open = false;
     }
 
-    /// Waits for the next step. May be dropped and called again.
+    /// Waits for the next step. Cancel-safe: it may be dropped and called again.
     pub(crate) async fn next_step(&mut self, permit: &Permit, id: &str) -> MigrationStep {
         loop {
             if self.ready_copy.is_some() && self.source_open {
                 sleep(SOURCE_CLOSE_TIMEOUT).await;
                 self.source_open = false;
             }
-            if let Some(moved) = self.ready_copy.take() {
-                return MigrationStep::Continue(moved);
+            if let Some(migrated) = self.ready_copy.take() {
+                return MigrationStep::Continue(migrated);
             }
             if let Some(steps) = &mut self.steps {
                 match steps.recv().await {
-                    Some(MigrationStep::Continue(moved)) => self.ready_copy = Some(moved),
+                    Some(MigrationStep::Continue(migrated)) => self.ready_copy = Some(migrated),
                     Some(MigrationStep::Stopping) => {
                         self.stopping = true;
                         return MigrationStep::Stopping;
@@ -157,7 +157,7 @@
                         return MigrationStep::Failed;
                     }
                     None if self.cause == Some(Cause::Evacuated) => {
-                        // The engine may still leave; the generation is moved then.
+                        // If the engine leaves later, the generation is migrated then.
                         self.move_failed = true;
                         self.steps = None;
                         self.checked = false;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Begins to move the generation where its engine leaves, or is to be left.
+    /// Starts a migration if the generation's engine is leaving or its data centre is evacuated.
     fn start_if_needed(&mut self, permit: &Permit, id: &str) {
         let targets = self.relay.targets.borrow();
         let Some(target) = targets.get(permit.slot) else {
@@ -206,7 +206,7 @@
     }
 }
 
-/// A turn on the link of an engine; it is over when this is dropped.
+/// A transfer slot on the source engine's link; dropping it releases the slot at the dispatcher.
 struct TransferSlot<'a> {
     relay: &'a Rc<Relay>,
     job: &'a MigrationJob,
@@ -220,11 +220,11 @@
     }
 }
 
-/// What became of one try to move a generation.
+/// Outcome of one attempt to migrate a generation.
 enum Attempt {
-    /// It is over, one way or the other.
+    /// No further attempt: the generation moved, finished, or resumes at its source.
     Done,
-    /// It is tried again, elsewhere where an engine is named.
+    /// Retry for this reason, avoiding the engine if one is given.
     Retry(&'static str, Option<TargetId>),
 }
 
@@ -250,7 +250,7 @@
             let target = match found {
                 Ok(target) if relay.takes_work(target) => target,
                 Ok(target) => {
-                    // The dispatcher has not heard yet that it leaves too.
+                    // The dispatcher does not know yet that the chosen engine is leaving too.
                     avoid.extend(relay.id_of(target));
                     relay.tell_relocated(self.pool, self.serial, self.source_id);
                     continue;
@@ -274,65 +274,65 @@
         }
     }
 
-    /// Copies the generation to an engine, stops it, and has it go on there.
+    /// Copies the generation to an engine, stops it at the source, and has it resume from the copy.
     async fn attempt(
         &self,
         relay: &Rc<Relay>,
         target: TargetSlot,
         steps: &mpsc::UnboundedSender<MigrationStep>,
     ) -> Attempt {
-        let _slot = TransferSlot { relay, job: self };
+        let _transfer_slot = TransferSlot { relay, job: self };
         let Some(target_address) = relay.targets.borrow().get(target).map(|t| t.entry.address)
         else {
             return Attempt::Retry("the engine is gone", None);
         };
         let started_ms = relay.now_ms();
         let target_id = relay.id_of(target);
-        let first = match self.copy(relay, target, false).await {
+        let first_copy = match self.copy(relay, target, false).await {
             CopyReply::Done { copy, .. } => copy,
             CopyReply::NotRunning => {
                 return Attempt::Retry("it does not run yet, or no more", None);
             }
             CopyReply::UnderWay => return Attempt::Retry("another copy is under way", None),
             reply => {
-                slog::info!(relay.log, "copy failed"; "id" => &*self.id, "reply" => ?reply);
+                slog::info!(relay.log, "migration copy failed"; "id" => &*self.id, "reply" => ?reply);
                 return Attempt::Retry("the copy failed", target_id);
             }
         };
         let copied_ms = relay.now_ms();
         if relay.is_over(target) {
-            // The copy went with the life that held it: a stop now would end the generation.
-            free_copy(relay, target_address, &first);
+            // The copy is lost with the engine process that held it: stopping the generation now would end it.
+            free_copy(relay, target_address, &first_copy);
             return Attempt::Retry("the engine is gone", target_id);
         }
         if steps.send(MigrationStep::Stopping).is_err() {
-            // It came to its own end, or its caller left, while it was copied.
-            free_copy(relay, target_address, &first);
+            // The generation finished, or its caller disconnected, during the copy.
+            free_copy(relay, target_address, &first_copy);
             return Attempt::Done;
         }
         match self.copy(relay, target, true).await {
             CopyReply::Done { copy, events_made } => {
-                slog::info!(relay.log, "generation stopped to be moved"; "id" => &*self.id,
+                slog::info!(relay.log, "generation stopped for migration"; "id" => &*self.id,
                     "events" => events_made, "copied_in_ms" => copied_ms - started_ms,
                     "stopped_in_ms" => relay.now_ms() - copied_ms);
                 if !self.resume_at(target, copy, steps) {
-                    free_copy(relay, target_address, &first);
+                    free_copy(relay, target_address, &first_copy);
                 }
                 Attempt::Done
             }
             CopyReply::NoRoom { kept: Some(copy) } => {
-                slog::info!(relay.log, "generation goes on at its source"; "id" => &*self.id);
+                slog::info!(relay.log, "generation resumes at its source"; "id" => &*self.id);
                 self.resume_at(self.source, copy, steps);
                 Attempt::Done
             }
             CopyReply::NotRunning => {
-                // It came to its own end meanwhile.
-                free_copy(relay, target_address, &first);
+                // The generation finished before the stop.
+                free_copy(relay, target_address, &first_copy);
                 Attempt::Done
             }
             reply => {
-                slog::info!(relay.log, "stop failed"; "id" => &*self.id, "reply" => ?reply);
-                free_copy(relay, target_address, &first);
+                slog::info!(relay.log, "migration stop failed"; "id" => &*self.id, "reply" => ?reply);
+                free_copy(relay, target_address, &first_copy);
                 match steps.send(MigrationStep::Failed) {
                     Ok(()) => Attempt::Retry("the stop failed", target_id),
                     Err(_) => Attempt::Done,
@@ -341,32 +341,32 @@
         }
     }
 
-    /// Has the generation go on. False where nobody waits for that any more.
+    /// Hands the copy to the reader of the stream. False if the reader is gone.
     fn resume_at(
         &self,
         target: TargetSlot,
         copy: Box<str>,
         steps: &mpsc::UnboundedSender<MigrationStep>,
     ) -> bool {
-        let moved = MigratedCopy {
+        let migrated = MigratedCopy {
             target,
             source: self.source_address,
             source_slot: self.source,
             copy,
         };
-        steps.send(MigrationStep::Continue(moved)).is_ok()
+        steps.send(MigrationStep::Continue(migrated)).is_ok()
     }
 
     fn log_not_moved(&self, relay: &Relay, why: &'static str, attempt: u32) {
         slog::info!(relay.log, "not moved"; "id" => &*self.id, "why" => why, "tries" => attempt);
     }
 
-    async fn copy(&self, relay: &Rc<Relay>, target: TargetSlot, stops: bool) -> CopyReply {
+    async fn copy(&self, relay: &Rc<Relay>, target: TargetSlot, is_final: bool) -> CopyReply {
         let target_address = relay.targets.borrow().get(target).map(|t| t.entry.address);
         let Some(target_address) = target_address else {
             return CopyReply::NoRoom { kept: None };
         };
-        let call = copy_request(self.source_address, &self.id, target_address, stops);
+        let call = copy_request(self.source_address, &self.id, target_address, is_final);
         let reply = control(relay, self.source_address, &call).await;
         reply.map_or(CopyReply::Unknown { status: 0 }, |(status, body)| {
             parse_copy_reply(status, &body)
--- a/components/relay/src/migration/mod.rs
+++ b/components/relay/src/migration/mod.rs
@@ -1,4 +1,4 @@
-//! Generations that go on at another engine.
+//! Live migration of running generations between engines.
 
 pub(crate) mod migrated_copy;
 pub(crate) mod migrator;
