--- a/components/relay/src/membership/broadcast.rs
+++ b/components/relay/src/membership/broadcast.rs
@@ -1,6 +1,6 @@
-//! Tells all boxes something at once: one box of each data centre is told, and passes it on to the others there by groups, so
-//! that little travels between data centres, what the first box sends grows with their number, and what each other one
-//! sends with the root of the boxes there.
+//! Broadcast of gossip to all boxes: the sender sends to one box of each data centre, which forwards to the others there in
+//! groups. This keeps traffic between data centres low: the sender's messages grow with the number of data centres, and those of
+//! any other box with the square root of the boxes in its data centre.
 
 use crate::state::Relay;
 use peers::FleetGossip;
@@ -11,107 +11,108 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Up to so many boxes are told one by one.
-const TOLD_DIRECTLY_MAX: usize = 24;
-/// A group is at least so large, and larger where there are more groups than that in a data centre.
-const GROUP_BOXES_MIN: usize = 12;
-/// Longest time for a call.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// How long a box that passes on is waited for alone: all boxes of a data centre hear through it.
-const HEAD_LIMIT: Duration = Duration::from_millis(120);
+/// Up to this many boxes, each is sent to directly.
+const DIRECT_SENDS_MAX: usize = 24;
+/// Smallest size of a group. Groups are larger if a data centre would have more groups than this.
+const GROUP_SIZE_MIN: usize = 12;
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a sender waits for the head of a group before it also sends to the next box: the whole group depends on the head.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// A box with its address: whoever passes news on may not have met it.
+/// A box with its address, since the forwarding box may not have met it.
 type Addressed = (BoxId, SocketAddr);
 
-/// Tells all other boxes.
-pub(crate) fn broadcast_gossip(relay: &Rc<Relay>, news: &FleetGossip) {
+/// Sends gossip to all other boxes.
+pub(crate) fn broadcast_gossip(relay: &Rc<Relay>, gossip: &FleetGossip) {
     let others = relay.members.borrow().broadcast_order(relay.now_ms());
     for group in data_centre_groups(&others) {
         let group = addressed(relay, &group);
-        spawn_local(tell_group(relay.clone(), news.clone(), group));
+        spawn_local(send_to_group(relay.clone(), gossip.clone(), group));
     }
 }
 
-/// Passes news on to the boxes that its sender named.
-pub(crate) fn forward_gossip(relay: &Rc<Relay>, news: &mut FleetGossip) {
-    let named = std::mem::take(&mut news.pass_on);
-    for (id, address) in &named {
+/// Forwards gossip to the boxes that its sender listed in `pass_on`.
+pub(crate) fn forward_gossip(relay: &Rc<Relay>, gossip: &mut FleetGossip) {
+    let recipients = std::mem::take(&mut gossip.pass_on);
+    for (id, address) in &recipients {
         if relay.members.borrow().card(*id).is_none() {
             relay.peers.set_address(*id, *address);
         }
     }
-    for part in parts(&named) {
-        spawn_local(tell_group(relay.clone(), news.clone(), part));
+    for group in forward_groups(&recipients) {
+        spawn_local(send_to_group(relay.clone(), gossip.clone(), group));
     }
 }
 
-/// The groups that a box tells news, of which it sends one message each: the boxes of each data centre.
+/// The groups of a broadcast, to each of which the sender sends one message: the boxes of each data centre, or single boxes in a
+/// small fleet. `others` is sorted by data centre.
 pub(crate) fn data_centre_groups(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
-    if others.len() <= TOLD_DIRECTLY_MAX {
+    if others.len() <= DIRECT_SENDS_MAX {
         return others.iter().map(|(id, _)| vec![*id]).collect();
     }
-    let places = others.chunk_by(|a, b| a.1 == b.1);
-    places
-        .map(|place| place.iter().map(|(id, _)| *id).collect())
+    let data_centres = others.chunk_by(|a, b| a.1 == b.1);
+    data_centres
+        .map(|boxes| boxes.iter().map(|(id, _)| *id).collect())
         .collect()
 }
 
-/// The boxes that are told, each first one passing on to the others of its group. Boxes of one data centre follow each
-/// other in `others`, those that should pass on first.
+/// The groups of a broadcast that is forwarded only once: the first box of each group forwards to the rest of it. `others` is
+/// sorted by data centre, and in each by preference for forwarding.
 pub(crate) fn broadcast_groups(others: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
-    if others.len() <= TOLD_DIRECTLY_MAX {
+    if others.len() <= DIRECT_SENDS_MAX {
         return others.iter().map(|(id, _)| vec![*id]).collect();
     }
-    let places = others.chunk_by(|a, b| a.1 == b.1);
-    places.flat_map(groups_of_place).collect()
+    let data_centres = others.chunk_by(|a, b| a.1 == b.1);
+    data_centres.flat_map(groups_in_data_centre).collect()
 }
 
-fn groups_of_place(boxes: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
+fn groups_in_data_centre(boxes: &[(BoxId, DataCentreId)]) -> Vec<Vec<BoxId>> {
     let ids: Vec<BoxId> = boxes.iter().map(|(id, _)| *id).collect();
-    in_groups(&ids)
+    divide_into_groups(&ids)
 }
 
-/// The groups by which a box passes on: each box by itself where they are few.
-fn parts<T: Copy>(boxes: &[T]) -> Vec<Vec<T>> {
-    match boxes.len() <= TOLD_DIRECTLY_MAX {
+/// The groups to which a box forwards: single boxes if they are few.
+fn forward_groups<T: Copy>(boxes: &[T]) -> Vec<Vec<T>> {
+    match boxes.len() <= DIRECT_SENDS_MAX {
         true => boxes.iter().map(|one| vec![*one]).collect(),
-        false => in_groups(boxes),
+        false => divide_into_groups(boxes),
     }
 }
 
-/// Groups of which the first boxes are the first of all.
-fn in_groups<T: Copy>(boxes: &[T]) -> Vec<Vec<T>> {
-    let size = boxes.len().isqrt().max(GROUP_BOXES_MIN);
+/// Divides boxes into groups of about the square root of their number. The heads of the groups are the first of `boxes`.
+fn divide_into_groups<T: Copy>(boxes: &[T]) -> Vec<Vec<T>> {
+    let size = boxes.len().isqrt().max(GROUP_SIZE_MIN);
     let count = boxes.len().div_ceil(size);
     let group = |first: usize| boxes.iter().skip(first).step_by(count).copied();
     (0..count).map(|first| group(first).collect()).collect()
 }
 
-/// Tells the first box of a group; the next one too where that one does not answer, or not soon.
-async fn tell_group(relay: Rc<Relay>, mut news: FleetGossip, group: Vec<Addressed>) {
+/// Sends gossip to the first box of a group; on failure or after `HEAD_TIMEOUT` also to the next one.
+async fn send_to_group(relay: Rc<Relay>, mut gossip: FleetGossip, group: Vec<Addressed>) {
     let mut rest = &group[..];
     while let Some(((first, _), others)) = rest.split_first() {
         rest = others;
-        news.pass_on = others.to_vec();
-        let told = spawn_local(tell(relay.clone(), *first, news.clone()));
-        // One that is slow may still pass it on: being told twice changes nothing.
-        if matches!(timeout(HEAD_LIMIT, told).await, Ok(Ok(true))) {
+        gossip.pass_on = others.to_vec();
+        let sent = spawn_local(send(relay.clone(), *first, gossip.clone()));
+        // A slow box may still forward it. Receiving gossip twice is harmless.
+        if matches!(timeout(HEAD_TIMEOUT, sent).await, Ok(Ok(true))) {
             return;
         }
     }
 }
 
-/// Whether a box took what it was told.
-async fn tell(relay: Rc<Relay>, id: BoxId, news: FleetGossip) -> bool {
+/// Sends gossip to a box; true if it answered.
+async fn send(relay: Rc<Relay>, id: BoxId, gossip: FleetGossip) -> bool {
     let call = relay
         .peers
-        .call(id, CALL_LIMIT, |client, context| async move {
-            client.tell(context, news).await
+        .call(id, CALL_TIMEOUT, |client, context| async move {
+            client.tell(context, gossip).await
         });
     relay.heard_from(id, call.await, "tell").is_some()
 }
 
-/// Boxes with the addresses that this one knows of them.
+/// The boxes whose address this one knows, with that address.
 fn addressed(relay: &Relay, ids: &[BoxId]) -> Vec<Addressed> {
     let members = relay.members.borrow();
     let address = |id: &BoxId| Some((*id, members.card(*id)?.address));
--- a/components/relay/src/membership/broadcast_tests.rs
+++ b/components/relay/src/membership/broadcast_tests.rs
@@ -2,17 +2,17 @@
 use rstest::rstest;
 use std::collections::HashMap;
 
-/// So many boxes, evenly over some data centres.
-fn boxes(count: u32, places: u32) -> Vec<(BoxId, DataCentreId)> {
+/// `count` boxes, spread evenly over `data_centres` data centres.
+fn boxes(count: u32, data_centres: u32) -> Vec<(BoxId, DataCentreId)> {
     let mut boxes: Vec<_> = (0..count)
-        .map(|at| (BoxId(at), DataCentreId(u64::from(at % places))))
+        .map(|at| (BoxId(at), DataCentreId(u64::from(at % data_centres))))
         .collect();
-    boxes.sort_by_key(|(_, place)| *place);
+    boxes.sort_by_key(|(_, data_centre)| *data_centre);
     boxes
 }
 
 #[test]
-fn tells_a_few_boxes_one_by_one() {
+fn few_boxes_are_sent_to_directly() {
     assert_eq!(broadcast_groups(&boxes(0, 1)).len(), 0);
     assert_eq!(broadcast_groups(&boxes(24, 3)).len(), 24);
 }
@@ -23,32 +23,36 @@
 #[case(195, 5)]
 #[case(361, 5)]
 #[case(1_000, 7)]
-fn tells_many_boxes_by_groups_that_hold_each_of_them_once(#[case] count: u32, #[case] places: u32) {
-    let groups = broadcast_groups(&boxes(count, places));
-    let mut told = groups.concat();
-    told.sort();
-    assert_eq!(told, (0..count).map(BoxId).collect::<Vec<_>>());
-    // What the first box sends, and what each head does, grows with the root of their number.
+fn groups_contain_each_of_many_boxes_once(#[case] count: u32, #[case] data_centres: u32) {
+    let groups = broadcast_groups(&boxes(count, data_centres));
+    let mut recipients = groups.concat();
+    recipients.sort();
+    assert_eq!(recipients, (0..count).map(BoxId).collect::<Vec<_>>());
+    // The messages of the sender, and those of each head, grow with the square root of the number of boxes.
     assert!(
         groups.len().pow(2) <= 9 * count as usize,
         "{} groups",
         groups.len()
     );
     let largest = groups.iter().map(Vec::len).max();
-    assert!(largest <= Some(GROUP_BOXES_MIN), "{largest:?} in a group");
+    assert!(largest <= Some(GROUP_SIZE_MIN), "{largest:?} in a group");
 }
 
 #[test]
-fn what_is_passed_on_stays_in_its_data_centre() {
+fn groups_do_not_span_data_centres() {
     let boxes = boxes(361, 5);
-    let place: HashMap<BoxId, DataCentreId> = boxes.iter().copied().collect();
+    let data_centre: HashMap<BoxId, DataCentreId> = boxes.iter().copied().collect();
     for group in broadcast_groups(&boxes) {
-        assert!(group.iter().all(|id| place[id] == place[&group[0]]));
+        assert!(
+            group
+                .iter()
+                .all(|id| data_centre[id] == data_centre[&group[0]])
+        );
     }
 }
 
 #[test]
-fn the_first_boxes_of_a_data_centre_pass_on() {
+fn the_first_boxes_of_a_data_centre_head_the_groups() {
     let boxes = boxes(60, 1);
     let heads: Vec<BoxId> = broadcast_groups(&boxes)
         .iter()
@@ -65,23 +69,24 @@
 #[case(361, 5)]
 #[case(986, 5)]
 #[case(2_000, 7)]
-fn news_for_many_boxes_cost_one_message_to_each_data_centre(
+fn broadcast_to_many_boxes_sends_one_message_to_each_data_centre(
     #[case] count: u32,
-    #[case] places: u32,
+    #[case] data_centres: u32,
 ) {
-    let told = data_centre_groups(&boxes(count, places));
-    assert_eq!(told.len(), places as usize);
-    let mut all = told.concat();
+    let recipients = data_centre_groups(&boxes(count, data_centres));
+    assert_eq!(recipients.len(), data_centres as usize);
+    let mut all = recipients.concat();
     all.sort();
     assert_eq!(all, (0..count).map(BoxId).collect::<Vec<_>>());
 }
 
-/// Messages that each box sends, and how many hands news go through, until all boxes of a data centre have them.
-fn passed_on(group: &[u32], hands: u32, sent: &mut Vec<usize>) -> u32 {
-    let parts = parts(&group[1..]);
-    sent.push(parts.len());
-    let deeper = parts.iter().map(|part| passed_on(part, hands + 1, sent));
-    deeper.max().unwrap_or(hands)
+/// Simulates the forwarding within a data centre: appends the messages of each box to `sent`, and returns the number of hops
+/// until all boxes are reached.
+fn forward(group: &[u32], hops: u32, sent: &mut Vec<usize>) -> u32 {
+    let groups = forward_groups(&group[1..]);
+    sent.push(groups.len());
+    let deeper = groups.iter().map(|group| forward(group, hops + 1, sent));
+    deeper.max().unwrap_or(hops)
 }
 
 #[rstest]
@@ -89,12 +94,12 @@
 #[case(39)]
 #[case(197)]
 #[case(400)]
-fn the_boxes_of_a_data_centre_pass_on_within_three_hands(#[case] count: u32) {
+fn all_boxes_of_a_data_centre_are_reached_within_three_hops(#[case] count: u32) {
     let group: Vec<u32> = (0..count).collect();
     let mut sent = Vec::new();
-    let hands = passed_on(&group, 1, &mut sent);
-    assert!(hands <= 3, "{hands} hands");
-    assert_eq!(sent.len(), count as usize, "each box is told once");
-    let most = sent.iter().max().unwrap();
-    assert!(*most <= 24, "{most} messages of one box");
+    let hops = forward(&group, 1, &mut sent);
+    assert!(hops <= 3, "{hops} hops");
+    assert_eq!(sent.len(), count as usize, "each box receives it once");
+    let max_sent = sent.iter().max().unwrap();
+    assert!(*max_sent <= 24, "{max_sent} messages of one box");
 }
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: each box compares what it knows with one other at a time, and asks whoever knows more for what it
-//! lacks. What a broadcast missed is found so, and a box that starts learns so what its seeds know.
+//! Anti-entropy: each box periodically exchanges digests with one other box, and fetches what it is missing from a box that has
+//! more. This repairs lost broadcasts, and lets a starting box learn what its seeds know.
 
 use crate::membership::gossip::handle_gossip;
 use crate::membership::missing::MissingData;
@@ -12,42 +12,43 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a box exchanges what it knows with one other.
-const EXCHANGE_EACH: Duration = Duration::from_millis(500);
-/// The same while it knows no list of targets, and may serve nobody.
-const LEARN_EACH: Duration = Duration::from_millis(150);
-/// One exchange of so many goes to any box, the others to boxes of the same data centre: bytes between data centres are
-/// paid for, and two boxes in each hear of everything by broadcast.
-const ANYWHERE_EACH: usize = 4;
-/// Boxes that a new box greets: the first in rank, who tell it all they know, and some that may follow them.
-const GREETED_MAX: usize = 8;
-/// Longest time for a call.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// The same for what is long: 100 KB take 0.1 s on a narrow link that others use too.
-const FETCH_LIMIT: Duration = Duration::from_millis(1_000);
+/// Pause between two exchanges of a box.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
+/// The same while the box has no target list and cannot serve requests.
+const SYNC_INTERVAL: Duration = Duration::from_millis(150);
+/// One of every this many exchanges is with any box, the others with boxes of the same data centre: traffic between data centres
+/// is billed, and two boxes in each data centre receive every broadcast.
+const GLOBAL_EXCHANGE_PERIOD: usize = 4;
+/// Boxes that a new box announces itself to: the first in rank for the watcher role, which share all they know, and some that
+/// may succeed them.
+const MAX_ANNOUNCE_RECIPIENTS: usize = 8;
+/// Timeout of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a fetch, whose response is larger: 100 KB take 0.1 s on a narrow link that is shared.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Exchanges what this box knows with one other after another, for as long as it lives.
+/// Exchanges digests with one box after another until the process ends.
 pub(crate) async fn run_exchanges(relay: Rc<Relay>) {
-    meet_seeds(&relay).await;
-    let mut turn = usize::from(relay.life as u16);
+    query_seeds(&relay).await;
+    let mut round = usize::from(relay.life as u16);
     loop {
         let pause = match relay.knows(View::Targets) {
-            true => EXCHANGE_EACH,
-            false => LEARN_EACH,
+            true => EXCHANGE_INTERVAL,
+            false => SYNC_INTERVAL,
         };
         sleep(pause).await;
-        forget_silent(&relay);
-        turn = turn.wrapping_add(1);
-        match partner(&relay, turn) {
+        remove_silent(&relay);
+        round = round.wrapping_add(1);
+        match choose_peer(&relay, round) {
             Some(id) => {
                 exchange_with(&relay, id).await;
             }
-            None => meet_seeds(&relay).await,
+            None => query_seeds(&relay).await,
         }
     }
 }
 
-fn forget_silent(relay: &Relay) {
+fn remove_silent(relay: &Relay) {
     let gone = relay.members.borrow_mut().expire_silent(relay.now_ms());
     for id in gone {
         slog::info!(relay.log, "box forgotten"; "box" => id.0);
@@ -56,84 +57,84 @@
     relay.peers.drop_idle();
 }
 
-/// Whose turn it is to be asked; none where no other box is known.
-fn partner(relay: &Relay, turn: usize) -> Option<BoxId> {
+/// The box for this round's exchange; none if no other box is known.
+fn choose_peer(relay: &Relay, round: usize) -> Option<BoxId> {
     let members = relay.members.borrow();
     let near = members.others_in(&relay.identity.data_centre);
-    let boxes = match turn.is_multiple_of(ANYWHERE_EACH) || near.is_empty() {
+    let boxes = match round.is_multiple_of(GLOBAL_EXCHANGE_PERIOD) || near.is_empty() {
         true => members.others(),
         false => near,
     };
-    let at = turn.checked_rem(boxes.len())?;
-    boxes.get(at).copied()
+    let index = round.checked_rem(boxes.len())?;
+    boxes.get(index).copied()
 }
 
-/// Makes this box known to others: to those that may follow targets, who tell all they know, and to some more.
+/// Announces this box to the boxes that rank first for the watcher role, by an exchange with each.
 pub(crate) async fn announce_self(relay: &Rc<Relay>) {
     let now_ms = relay.now_ms();
     let others = relay.members.borrow().ranked(watcher_role(), true, now_ms);
-    let greeted = others.iter().take(GREETED_MAX);
-    let greetings = greeted.map(|id| exchange_with(relay, *id));
-    futures::future::join_all(greetings).await;
+    let recipients = others.iter().take(MAX_ANNOUNCE_RECIPIENTS);
+    let exchanges = recipients.map(|id| exchange_with(relay, *id));
+    futures::future::join_all(exchanges).await;
 }
 
-/// Exchanges what this box knows with another.
+/// Exchanges digests with another box, and fetches what this one is missing.
 pub(crate) async fn exchange_with(relay: &Rc<Relay>, id: BoxId) {
     let digest = relay.digest();
     let call = relay
         .peers
-        .call(id, CALL_LIMIT, |client, context| async move {
+        .call(id, EXCHANGE_TIMEOUT, |client, context| async move {
             client.exchange(context, digest).await
         });
-    if let Some(news) = relay.heard_from(id, call.await, "exchange") {
-        handle_gossip(relay, news);
+    if let Some(gossip) = relay.heard_from(id, call.await, "exchange") {
+        handle_gossip(relay, gossip);
     }
 }
 
-/// Gets from a box what this one lacks.
-pub(crate) async fn fetch_from(relay: &Rc<Relay>, id: BoxId, lacks: MissingData) {
-    slog::debug!(relay.log, "asks for what it lacks"; "of" => id.0, "lacks" => ?lacks);
+/// Fetches the missing data from a box.
+pub(crate) async fn fetch_from(relay: &Rc<Relay>, id: BoxId, missing: MissingData) {
+    slog::debug!(relay.log, "fetching missing data"; "of" => id.0, "missing" => ?missing);
     let summary = || relay.targets.borrow().summary();
     let request = FetchRequest {
         digest: relay.digest(),
-        targets: lacks.targets.then(summary),
+        targets: missing.targets.then(summary),
     };
     metrics::counter!("shuntpier_fetches").increment(1);
     let call = relay
         .peers
-        .call(id, FETCH_LIMIT, |client, context| async move {
+        .call(id, FETCH_TIMEOUT, |client, context| async move {
             client.fetch(context, request).await
         });
-    if let Some(news) = relay.heard_from(id, call.await, "fetch") {
-        handle_gossip(relay, news);
+    if let Some(gossip) = relay.heard_from(id, call.await, "fetch") {
+        handle_gossip(relay, gossip);
     }
 }
 
-/// Asks the boxes that the settings name, which may be gone.
-async fn meet_seeds(relay: &Rc<Relay>) {
+/// Exchanges digests with the seeds of the settings, some of which may be gone.
+async fn query_seeds(relay: &Rc<Relay>) {
     let seeds = relay.file().seeds.clone();
     let own = relay.identity.peers_address;
     let others = seeds.into_iter().filter(|seed| *seed != own).enumerate();
-    let asked = others.map(|(at, seed)| meet_seed(relay, at, seed));
-    futures::future::join_all(asked).await;
+    let queries = others.map(|(index, seed)| query_seed(relay, index, seed));
+    futures::future::join_all(queries).await;
     relay.seeds_asked.send_replace(true);
 }
 
-async fn meet_seed(relay: &Rc<Relay>, at: usize, seed: SocketAddr) {
-    // Seeds have addresses and no names: they are asked under numbers that no box has.
-    let id = BoxId(u32::MAX - at as u32);
+async fn query_seed(relay: &Rc<Relay>, index: usize, seed: SocketAddr) {
+    // Seeds have addresses and no names: they get placeholder ids that no box has.
+    let id = BoxId(u32::MAX - index as u32);
     relay.peers.set_address(id, seed);
     let digest = relay.digest();
     let call = relay
         .peers
-        .call(id, CALL_LIMIT, |client, context| async move {
+        .call(id, EXCHANGE_TIMEOUT, |client, context| async move {
             client.exchange(context, digest).await
         });
     match call.await {
-        Ok(news) => {
-            handle_gossip(relay, news);
+        Ok(gossip) => {
+            handle_gossip(relay, gossip);
             let mut fetching = relay.fetching.subscribe();
-            // What the seed knows more is on its way; whoever waits for seeds waits for that.
+            // A fetch from the seed may be in progress, and waiting for the seeds includes it.
             let _ = fetching.wait_for(|fetching| !fetching).await;
         }
         Err(error) => {
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -1,5 +1,5 @@
-//! What boxes tell each other, as it is made and taken in: the operators' declarations, the targets, which data centres
-//! are evacuated, and which boxes there are. How it gets around is in [`crate::membership::broadcast`] and [`crate::membership::exchange`].
+//! Builds and applies gossip between boxes: the operators' declarations, the target list, evacuated data centres and known
+//! boxes. The transport is in [`crate::membership::broadcast`] and [`crate::membership::exchange`].
 
 use crate::membership::broadcast::{broadcast_gossip, forward_gossip};
 use crate::membership::compression::decompress;
@@ -21,33 +21,33 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Boxes that one answer names, those with wide links first: the others are learnt from the store and by their own word.
-/// Where all boxes start, each gets some twenty such answers.
-const BOXES_NAMED_MAX: usize = 48;
-/// A box that knows fewer than this share of what another knows asks it for more.
-const BOXES_KNOWN_SHARE: f64 = 0.9;
+/// Boxes listed in one fetch response, half of them those with the widest links. The others are learnt from the store and from their own announcements; when the whole
+/// fleet starts, a box receives about twenty such responses.
+const MAX_LISTED_BOXES: usize = 48;
+/// A box that knows less than this share of the boxes that a peer knows fetches more from it.
+const MIN_KNOWN_BOXES_SHARE: f64 = 0.9;
 
-/// Takes the card of a box in.
+/// Adds or updates a box by its card. `keyed` says whether the card comes from the box's key in the store.
 pub(crate) fn upsert_member(relay: &Relay, card: &FleetCard, keyed: bool) {
     let now_ms = relay.now_ms();
     let was_cut_off = !keyed && relay.is_cut_off(now_ms);
-    let met = relay
+    let update = relay
         .members
         .borrow_mut()
         .upsert(card.clone(), keyed, now_ms);
     if card.id == relay.id {
         return;
     }
-    if met == MemberUpdate::New {
+    if update == MemberUpdate::New {
         relay.peers.forget(card.id);
         slog::info!(relay.log, "box met"; "name" => &*card.name, "box" => card.id.0,
             "life" => card.life, "address" => %card.address, "keyed" => keyed);
     }
     relay.peers.set_address(card.id, card.address);
-    relay.note_heard(met, was_cut_off);
+    relay.note_heard(update, was_cut_off);
 }
 
-/// What every box is told in short.
+/// A gossip message with this box's digest, the targets known to be leaving and the known rate limits.
 pub(crate) fn gossip_message(relay: &Relay) -> FleetGossip {
     FleetGossip {
         digest: relay.digest(),
@@ -63,122 +63,125 @@
     }
 }
 
-/// What a box lacks that asks for it.
-fn lacking(relay: &Relay, request: &FetchRequest) -> FleetGossip {
-    let mut told = gossip_message(relay);
+/// The response to a fetch: whatever the sender of the request is missing.
+fn fetch_response(relay: &Relay, request: &FetchRequest) -> FleetGossip {
+    let mut response = gossip_message(relay);
     let other = &request.digest;
     let newer = relay
         .declared()
-        .filter(|held| other.table_version < held.table.version);
-    told.table = newer.map(|held| shared(&held));
+        .filter(|declared| other.table_version < declared.table.version);
+    response.table = newer.map(|declared| shared_table(&declared));
     let targets = relay.targets.borrow();
-    let asked = request.targets.as_ref();
-    let asked = asked.filter(|summary| may_tell_list(relay, summary));
-    if let Some(summary) = asked
+    let summary = request.targets.as_ref();
+    let summary = summary.filter(|summary| may_send_targets(relay, summary));
+    if let Some(summary) = summary
         && targets.is_known()
         && targets.current_to >= other.targets_current_to
     {
-        told.target_patch = targets.patch_for(summary, relay.now_ms());
-        let whole = told.target_patch.as_ref().filter(|_| needs_all(summary));
-        note_list_told(relay, other.from.id, whole);
+        response.target_patch = targets.patch_for(summary, relay.now_ms());
+        let whole_list = response
+            .target_patch
+            .as_ref()
+            .filter(|_| needs_whole_list(summary));
+        record_list_sent(relay, other.from.id, whole_list);
     }
-    if lacks_boxes(other.boxes, told.digest.boxes) {
-        told.boxes = relay.members.borrow().cards(BOXES_NAMED_MAX);
+    if is_missing_boxes(other.boxes, response.digest.boxes) {
+        response.boxes = relay.members.borrow().cards(MAX_LISTED_BOXES);
     }
-    told
+    response
 }
 
-/// Whether the list may be told to a box: it needs little of it, or the lists told before have left. A box that is told none
-/// hears of it again from the next one that it meets.
-fn may_tell_list(relay: &Relay, summary: &TargetSummary) -> bool {
-    !needs_all(summary) || relay.lists_told.get().is_free(relay.now_ms())
+/// Whether to answer with target data: if the box needs only changes, or the link budget allows another whole list. A box that
+/// gets none fetches it from the next peer that it exchanges digests with.
+fn may_send_targets(relay: &Relay, summary: &TargetSummary) -> bool {
+    !needs_whole_list(summary) || relay.lists_told.get().is_free(relay.now_ms())
 }
 
-fn needs_all(summary: &TargetSummary) -> bool {
+fn needs_whole_list(summary: &TargetSummary) -> bool {
     summary.buckets.is_empty()
 }
 
-/// Notes that a whole list is on its way to a box that had none.
-fn note_list_told(relay: &Relay, to: BoxId, whole: Option<&TargetPatch>) {
-    if let Some(whole) = whole {
+/// Charges the link budget for a whole list sent to a box that had none.
+fn record_list_sent(relay: &Relay, to: BoxId, whole_list: Option<&TargetPatch>) {
+    if let Some(list) = whole_list {
         let mut budget = relay.lists_told.get();
         let link_mbps = relay.file().limits.link_mbps;
-        budget.record(whole.listed.wire_bytes(), link_mbps, relay.now_ms());
+        budget.record(list.listed.wire_bytes(), link_mbps, relay.now_ms());
         relay.lists_told.set(budget);
         slog::info!(relay.log, "list of targets told"; "to" => to.0,
-            "targets" => whole.listed.len());
+            "targets" => list.listed.len());
     }
 }
 
-fn lacks_boxes(knows: u32, other_knows: u32) -> bool {
-    f64::from(knows) < f64::from(other_knows) * BOXES_KNOWN_SHARE
+fn is_missing_boxes(known: u32, known_to_peer: u32) -> bool {
+    f64::from(known) < f64::from(known_to_peer) * MIN_KNOWN_BOXES_SHARE
 }
 
-fn shared(held: &Declared) -> SharedTable {
+fn shared_table(declared: &Declared) -> SharedTable {
     SharedTable {
-        version: held.table.version,
-        packed: held.packed.clone(),
+        version: declared.table.version,
+        packed: declared.packed.clone(),
     }
 }
 
-/// Takes what another box tells.
-pub(crate) fn handle_gossip(relay: &Rc<Relay>, news: FleetGossip) {
-    let digest = news.digest.clone();
-    take_gossip(relay, news);
-    fetch_what_lacks(relay, &digest);
+/// Applies gossip from a peer, and fetches what this box is still missing.
+pub(crate) fn handle_gossip(relay: &Rc<Relay>, gossip: FleetGossip) {
+    let digest = gossip.digest.clone();
+    apply_gossip(relay, gossip);
+    fetch_missing(relay, &digest);
 }
 
-/// Takes what another box tells all boxes.
-fn on_telling(relay: &Rc<Relay>, news: FleetGossip) {
-    let digest = news.digest.clone();
-    take_gossip(relay, news);
+/// Applies a broadcast, and fetches what may be fetched at once from its sender.
+fn handle_broadcast(relay: &Rc<Relay>, gossip: FleetGossip) {
+    let digest = gossip.digest.clone();
+    apply_gossip(relay, gossip);
     let knows_list = relay.knows(View::Targets);
     let boxes = relay.members.borrow().peak_box_count();
-    let lacks = lacks(relay, &digest).after_broadcast(knows_list, boxes, rand::random());
-    ask_for(relay, digest.from.id, lacks);
+    let missing = missing_data(relay, &digest).after_broadcast(knows_list, boxes, rand::random());
+    fetch(relay, digest.from.id, missing);
 }
 
-/// Takes what another box says, and asks for nothing.
-fn take_gossip(relay: &Rc<Relay>, news: FleetGossip) {
-    upsert_member(relay, &news.digest.from, false);
+/// Applies gossip without fetching anything.
+fn apply_gossip(relay: &Rc<Relay>, gossip: FleetGossip) {
+    upsert_member(relay, &gossip.digest.from, false);
     let now_ms = relay.now_ms();
     relay
         .members
         .borrow_mut()
-        .record_reported_count(news.digest.boxes, now_ms);
-    take_evacuations(relay, &news.digest);
-    for card in &news.boxes {
+        .record_reported_count(gossip.digest.boxes, now_ms);
+    apply_evacuations(relay, &gossip.digest);
+    for card in &gossip.boxes {
         let known = relay.members.borrow().card(card.id).is_some();
         if !known {
             upsert_member(relay, card, false);
         }
     }
-    if let Some(table) = news.table {
+    if let Some(table) = gossip.table {
         match decompress(&table.packed) {
             Ok(text) => {
                 relay.declare(&text, "peer");
             }
-            Err(error) => slog::warn!(relay.log, "declarations of a peer not used";
+            Err(error) => slog::warn!(relay.log, "peer declarations rejected";
                 "version" => table.version, "error" => %error),
         }
     }
-    if news.asks_engines {
+    if gossip.asks_engines {
         relay.heard_asker_ms.set(relay.now_ms());
     }
-    let fetched = take_patch(relay, &news.digest, news.target_patch);
-    relay.took_changes(&fetched, "fetch");
+    let patched = apply_patch(relay, &gossip.digest, gossip.target_patch);
+    relay.took_changes(&patched, "fetch");
     let mut changes = Vec::new();
-    if let Some(told) = news.target_changes {
-        changes.extend(take_changes(relay, &news.digest, told));
+    if let Some(received) = gossip.target_changes {
+        changes.extend(apply_changes(relay, &gossip.digest, received));
     }
-    let left = relay.targets.borrow_mut().told_leaving(&news.leaving);
-    changes.extend(left);
+    let leaving = relay.targets.borrow_mut().told_leaving(&gossip.leaving);
+    changes.extend(leaving);
     relay.took_changes(&changes, "peer");
-    relay.observe_peer_rates(&news.rates);
-    take_confirmations(relay, &news.digest);
+    relay.observe_peer_rates(&gossip.rates);
+    apply_confirmations(relay, &gossip.digest);
 }
 
-fn take_patch(relay: &Relay, digest: &FleetDigest, patch: Option<TargetPatch>) -> Vec<Change> {
+fn apply_patch(relay: &Relay, digest: &FleetDigest, patch: Option<TargetPatch>) -> Vec<Change> {
     let current_to = digest.targets_current_to;
     let now_ms = relay.now_ms();
     let mut changes = Vec::new();
@@ -188,108 +191,110 @@
         changes = targets.patch(patch, current_to, now_ms);
         targets.changed_at = targets.changed_at.max(digest.targets_changed_at);
     } else if targets.is_known() && targets.changed_at >= digest.targets_changed_at {
-        // Nothing has changed up to there.
+        // No target has changed up to that version.
         targets.current_to = targets.current_to.max(current_to);
     }
     changes
 }
 
-/// Takes changes in, where all that came before them is known.
-fn take_changes(relay: &Relay, digest: &FleetDigest, told: TargetChanges) -> Vec<Change> {
+/// Applies target changes if all earlier changes are known.
+fn apply_changes(relay: &Relay, digest: &FleetDigest, received: TargetChanges) -> Vec<Change> {
     let (changed_at, current_to) = (digest.targets_changed_at, digest.targets_current_to);
     let now_ms = relay.now_ms();
     let mut targets = relay.targets.borrow_mut();
-    targets.take_told(told, changed_at, current_to, now_ms)
+    targets.take_told(received, changed_at, current_to, now_ms)
 }
 
-fn take_evacuations(relay: &Rc<Relay>, digest: &FleetDigest) {
-    let told = &digest.evacuations;
-    let era = digest.targets_current_to.max(told.version).era();
+fn apply_evacuations(relay: &Rc<Relay>, digest: &FleetDigest) {
+    let reported = &digest.evacuations;
+    let era = digest.targets_current_to.max(reported.version).era();
     relay.see_era(era, EraSource::Peer);
     let may_be_copied = relay.is_settling();
     relay.change_evacuations("peer", |known| match may_be_copied {
-        true => known.join(told),
-        false => known.adopt(told),
+        true => known.join(reported),
+        false => known.adopt(reported),
     });
 }
 
-/// Believes another box that what both know is the newest.
-fn take_confirmations(relay: &Relay, digest: &FleetDigest) {
+/// Adopts a peer's confirmation that a view is current, if this box has the same version of it.
+fn apply_confirmations(relay: &Relay, digest: &FleetDigest) {
     let now_ms = relay.now_ms();
-    let held = relay.declared().map_or(0, |held| held.table.version);
-    let knows_less = {
+    let table_version = relay
+        .declared()
+        .map_or(0, |declared| declared.table.version);
+    let peer_has_older_evacuations = {
         let evacuation = relay.evacuation.borrow();
         evacuation.known().is_newer_than(&digest.evacuations)
     };
-    let same = held == digest.table_version && !knows_less;
+    let same = table_version == digest.table_version && !peer_has_older_evacuations;
     if let Some(age_ms) = digest.table_age_ms.filter(|_| same) {
         relay.confirm_at(View::Declarations, now_ms.saturating_sub(age_ms.into()));
     }
-    let knows_all = relay.targets.borrow().changed_at >= digest.targets_changed_at;
-    if let Some(age_ms) = digest.targets_age_ms.filter(|_| knows_all) {
+    let has_all_changes = relay.targets.borrow().changed_at >= digest.targets_changed_at;
+    if let Some(age_ms) = digest.targets_age_ms.filter(|_| has_all_changes) {
         relay.confirm_at(View::Targets, now_ms.saturating_sub(age_ms.into()));
     }
 }
 
-/// Whether to ask for changes of targets that another box has. One that knows no list asks at once.
-fn lacks_targets(relay: &Relay, held: &FleetDigest, digest: &FleetDigest) -> bool {
-    let (own, told) = (held.targets_changed_at, digest.targets_changed_at);
+/// Whether to fetch target changes from a peer that has newer ones. A box without a target list fetches at once.
+fn needs_target_fetch(relay: &Relay, own_digest: &FleetDigest, digest: &FleetDigest) -> bool {
+    let (own, reported) = (own_digest.targets_changed_at, digest.targets_changed_at);
     if !relay.targets.borrow().is_known() {
-        return own < told;
+        return own < reported;
     }
-    let mut lacking = relay.lacking.get();
-    let is_due = lacking.is_fetch_due(own, told, relay.now_ms());
-    relay.lacking.set(lacking);
+    let mut missing = relay.lacking.get();
+    let is_due = missing.is_fetch_due(own, reported, relay.now_ms());
+    relay.lacking.set(missing);
     is_due
 }
 
-/// What this box lacks of what another one says that it knows.
-fn lacks(relay: &Relay, digest: &FleetDigest) -> MissingData {
-    let held = relay.digest();
-    let is_behind = held.targets_current_to < digest.targets_current_to;
+/// What this box is missing of the data in a peer's digest.
+fn missing_data(relay: &Relay, digest: &FleetDigest) -> MissingData {
+    let own_digest = relay.digest();
+    let is_behind = own_digest.targets_current_to < digest.targets_current_to;
     MissingData {
-        table: held.table_version < digest.table_version,
-        targets: is_behind && lacks_targets(relay, &held, digest),
-        boxes: lacks_boxes(held.boxes, digest.boxes),
+        table: own_digest.table_version < digest.table_version,
+        targets: is_behind && needs_target_fetch(relay, &own_digest, digest),
+        boxes: is_missing_boxes(own_digest.boxes, digest.boxes),
     }
 }
 
-/// Asks a box that knows more for what this one lacks.
-fn fetch_what_lacks(relay: &Rc<Relay>, digest: &FleetDigest) {
-    ask_for(relay, digest.from.id, lacks(relay, digest));
+/// Starts a fetch if a peer's digest shows that this box is missing data.
+fn fetch_missing(relay: &Rc<Relay>, digest: &FleetDigest) {
+    fetch(relay, digest.from.id, missing_data(relay, digest));
 }
 
-fn ask_for(relay: &Rc<Relay>, id: BoxId, lacks: MissingData) {
-    if !lacks.any() || relay.fetching.send_replace(true) {
+fn fetch(relay: &Rc<Relay>, id: BoxId, missing: MissingData) {
+    if !missing.any() || relay.fetching.send_replace(true) {
         return;
     }
     let relay = relay.clone();
     tokio::task::spawn_local(async move {
-        fetch_from(&relay, id, lacks).await;
+        fetch_from(&relay, id, missing).await;
         relay.fetching.send_replace(false);
     });
 }
 
-/// Tells all boxes what this box has just learnt of targets from the store.
+/// Broadcasts target changes that this box has just read from the store.
 pub(crate) fn broadcast_target_changes(relay: &Rc<Relay>, changes: TargetChanges) {
-    let mut news = gossip_message(relay);
-    news.target_changes = Some(changes);
-    broadcast_gossip(relay, &news);
+    let mut gossip = gossip_message(relay);
+    gossip.target_changes = Some(changes);
+    broadcast_gossip(relay, &gossip);
 }
 
-/// Tells all boxes the declarations that this box has just read in the store.
+/// Broadcasts the declarations that this box has just read from the store.
 pub(crate) fn broadcast_declarations(relay: &Rc<Relay>) {
-    let mut news = gossip_message(relay);
-    news.table = relay.declared().map(|held| shared(&held));
-    broadcast_gossip(relay, &news);
+    let mut gossip = gossip_message(relay);
+    gossip.table = relay.declared().map(|declared| shared_table(&declared));
+    broadcast_gossip(relay, &gossip);
 }
 
-/// Tells all boxes what this one stands for now: how current its view is, and which targets are known to leave.
+/// Broadcasts this box's digest: how current its views are, and which targets are known to be leaving.
 pub(crate) fn broadcast_digest(relay: &Rc<Relay>) {
     broadcast_gossip(relay, &gossip_message(relay));
 }
 
-/// A box, as its peers call it.
+/// Serves the calls of peers.
 #[derive(Clone)]
 pub(crate) struct Handler(pub Rc<Relay>);
 
@@ -301,24 +306,24 @@
 
     async fn exchange(&self, digest: FleetDigest) -> FleetGossip {
         upsert_member(&self.0, &digest.from, false);
-        take_evacuations(&self.0, &digest);
-        take_confirmations(&self.0, &digest);
-        fetch_what_lacks(&self.0, &digest);
+        apply_evacuations(&self.0, &digest);
+        apply_confirmations(&self.0, &digest);
+        fetch_missing(&self.0, &digest);
         gossip_message(&self.0)
     }
 
     async fn fetch(&self, request: FetchRequest) -> FleetGossip {
         upsert_member(&self.0, &request.digest.from, false);
-        lacking(&self.0, &request)
+        fetch_response(&self.0, &request)
     }
 
-    async fn tell(&self, mut news: FleetGossip) {
-        forward_gossip(&self.0, &mut news);
-        if news.follows_store {
+    async fn tell(&self, mut gossip: FleetGossip) {
+        forward_gossip(&self.0, &mut gossip);
+        if gossip.follows_store {
             let now_ms = self.0.now_ms();
             self.0.members.borrow_mut().record_store_follower(now_ms);
         }
-        on_telling(&self.0, news);
+        handle_broadcast(&self.0, gossip);
     }
 
     async fn hint(&self, hint: TargetHint) {
@@ -326,7 +331,7 @@
     }
 
     async fn acquire(&self, request: AcquireRequest, wait_ms: u32) -> PermitReply {
-        // A dispatcher that has just started would refuse for want of engines that it does not know yet.
+        // A dispatcher that has just started does not know its engines yet, and would refuse the request.
         self.0.wait_until_synced().await;
         let now_ms = self.0.now_ms();
         self.0.acquire_here(request, now_ms, wait_ms).await
@@ -362,8 +367,8 @@
         self.0.grant_load_shedding(from)
     }
 
-    async fn ends(&self, told: EndsTold) -> EndsTold {
-        self.0.on_ends(told)
+    async fn ends(&self, report: EndsTold) -> EndsTold {
+        self.0.on_ends(report)
     }
 
     async fn rate_token(&self, request: RateTokenRequest) -> RateTokenReply {
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -1,5 +1,5 @@
-//! Words on plain targets that boxes of one data centre tell each other at once: one that sees a target turn slow or not
-//! answer spares the others the calls by which each would find out for itself.
+//! Hints about plain targets, broadcast within a data centre: a box that sees a target become slow or stop answering saves the
+//! others the calls by which each would detect it itself.
 
 use crate::membership::broadcast::broadcast_groups;
 use crate::state::Relay;
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a call, as for other calls: a box that is only slow is not doubted.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of a call, the same as for other calls, so that a box that is merely slow is not suspected.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Relay {
-    /// Tells the boxes of this data centre, within what a box may tell.
+    /// Sends a hint about a target to the boxes of this data centre, within the rate limit on hints.
     pub(crate) fn broadcast_hint(self: &Rc<Self>, slot: TargetSlot, word: HintWord) {
         let Some(target) = self.id_of(slot) else {
             return;
@@ -50,11 +50,11 @@
                 word,
                 pass_on: Vec::new(),
             };
-            tokio::task::spawn_local(hint_group(self.clone(), hint, group));
+            tokio::task::spawn_local(send_hint(self.clone(), hint, group));
         }
     }
 
-    /// Takes a word of another box in, and passes it on.
+    /// Applies a hint of another box, and forwards it to the rest of its group.
     pub(crate) fn handle_hint(self: &Rc<Self>, mut hint: TargetHint) {
         let group = std::mem::take(&mut hint.pass_on);
         let slot = self.targets.borrow().slot_of(hint.target);
@@ -63,13 +63,13 @@
             self.took_hint(slot, hint.from, hint.word);
         }
         for id in group {
-            tokio::task::spawn_local(hint_group(self.clone(), hint.clone(), vec![id]));
+            tokio::task::spawn_local(send_hint(self.clone(), hint.clone(), vec![id]));
         }
     }
 }
 
-/// Tells the first box of a group, or the next where that one does not answer.
-async fn hint_group(relay: Rc<Relay>, mut hint: TargetHint, group: Vec<BoxId>) {
+/// Sends a hint to the first box of a group, which forwards it to the rest; on failure to the next box.
+async fn send_hint(relay: Rc<Relay>, mut hint: TargetHint, group: Vec<BoxId>) {
     let mut rest = &group[..];
     while let Some((first, others)) = rest.split_first() {
         rest = others;
@@ -77,7 +77,7 @@
         let (first, hint) = (*first, hint.clone());
         let call = relay
             .peers
-            .call(first, CALL_LIMIT, |client, context| async move {
+            .call(first, CALL_TIMEOUT, |client, context| async move {
                 client.hint(context, hint).await
             });
         if relay.heard_from(first, call.await, "hint").is_some() {
--- a/components/relay/src/membership/key_lease.rs
+++ b/components/relay/src/membership/key_lease.rs
@@ -1,54 +1,54 @@
-//! For how long the key of a box is leased, and how often that is renewed. Whether a box is there is told by its peers, who
-//! call it; its key only lets those find it that know nobody yet. What all boxes ask the store for so does not grow with
-//! their number, as how often they read each other's keys does not.
+//! Duration and renewal interval of the lease on a box's key in the store. Peers detect by their calls whether a box is alive;
+//! its key only lets boxes find it that know no peer yet. The renewal interval therefore grows with the number of boxes, so that
+//! the store load of the whole fleet stays constant, as with the reads of the box list.
 
 use platform::Lease;
 use std::time::Duration;
 
-/// How often the lease is renewed where boxes are few.
-const RENEW_EACH_S: u64 = 20;
-/// The longest time from one renewal to the next.
-const RENEW_EACH_MAX_S: u64 = 300;
-/// Renewals within a lease: two may be lost.
-const RENEWALS: u64 = 3;
-/// The longest lease that the platform grants.
+/// Renewal interval in a small fleet, in seconds.
+const RENEW_INTERVAL_S: u64 = 20;
+/// Longest renewal interval, in seconds.
+const RENEW_INTERVAL_MAX_S: u64 = 300;
+/// Renewal intervals in one lease: two renewals may be lost.
+const RENEWALS_PER_LEASE: u64 = 3;
+/// Longest lease that the platform grants, in seconds.
 const LEASE_MAX_S: u64 = 600;
 
-/// The times of a lease.
+/// Duration and renewal interval of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct KeyTerms {
-    renew_each_s: u64,
+    renew_interval_s: u64,
 }
 
 impl KeyTerms {
-    /// The shortest that any box takes.
+    /// The terms with the shortest lease, those of a small fleet.
     pub const SHORTEST: Self = Self {
-        renew_each_s: RENEW_EACH_S,
+        renew_interval_s: RENEW_INTERVAL_S,
     };
 
-    /// Those of a box that reads the others' keys so many times less often than one among few.
+    /// The terms for a fleet in which each box polls the store `interval_factor` times less often than in a small one.
     pub fn for_factor(interval_factor: u64) -> Self {
-        let renew_each_s = RENEW_EACH_S * interval_factor;
+        let renew_interval_s = RENEW_INTERVAL_S * interval_factor;
         Self {
-            renew_each_s: renew_each_s.min(RENEW_EACH_MAX_S),
+            renew_interval_s: renew_interval_s.min(RENEW_INTERVAL_MAX_S),
         }
     }
 
-    pub fn renew_each(self) -> Duration {
-        Duration::from_secs(self.renew_each_s)
+    pub fn renew_interval(self) -> Duration {
+        Duration::from_secs(self.renew_interval_s)
     }
 
     pub fn lease_s(self) -> u64 {
-        (self.renew_each_s * RENEWALS).min(LEASE_MAX_S)
+        (self.renew_interval_s * RENEWALS_PER_LEASE).min(LEASE_MAX_S)
     }
 
-    /// Whether these are so much shorter than others that a new lease costs less than going on with it.
-    pub fn is_short_of(self, wanted: Self) -> bool {
-        self.renew_each_s * 2 < wanted.renew_each_s
+    /// Whether these terms are so much shorter than the wanted ones that a new lease costs less than renewing this one.
+    pub fn is_too_short_for(self, wanted: Self) -> bool {
+        self.renew_interval_s * 2 < wanted.renew_interval_s
     }
 }
 
-/// A lease that this box holds.
+/// A lease that this box holds, with its terms.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub lease: Lease,
@@ -56,8 +56,8 @@
 }
 
 impl HeldLease {
-    /// One that a former life of this box has left: nobody says for how long it was taken.
-    pub fn of_former_life(lease: Lease) -> Self {
+    /// A lease left by a previous incarnation of this box. Its duration is not recorded anywhere, so the shortest is assumed.
+    pub fn from_previous_incarnation(lease: Lease) -> Self {
         Self {
             lease,
             terms: KeyTerms::SHORTEST,
--- a/components/relay/src/membership/load_shedding.rs
+++ b/components/relay/src/membership/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Which boxes may say that they are not ready because they are overrun: never many at once. The first in rank counts.
+//! Load shedding: an overloaded box may report that it is not ready, but only a few boxes at once. The box that ranks first for
+//! the coordinator role grants the permissions and counts them.
 
 use crate::state::Relay;
 use prelude::BoxId;
@@ -6,38 +7,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One box in so many may stand back: the others then bear a third more.
-const READY_FOR_EACH: usize = 4;
-/// How long a permission holds: three times as long as from one question to the next, for lost ones.
-const HOLDS_MS: u64 = 6_000;
-/// Longest time for an answer: longer than for other calls, as whoever asks is late itself.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+/// One of every this many ready boxes may shed load: the others then carry a third more.
+const READY_BOXES_PER_PERMISSION: usize = 4;
+/// How long a permission is valid: three times the interval of its renewal, so that lost renewals are tolerated.
+const PERMISSION_MS: u64 = 6_000;
+/// Timeout for a permission call: longer than for other calls, because the calling box is overloaded and slow itself.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The role of the box that counts, for rendezvous hashing.
-const COUNTING_ROLE: u64 = 0x5ba2;
+/// Key of the coordinator role, for rendezvous hashing.
+const COORDINATOR_ROLE: u64 = 0x5ba2;
 
-/// Who stands back, and until when.
+/// Boxes that are permitted to shed load, with the time in ms at which each permission expires.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadShedding(HashMap<BoxId, u64>);
 
 impl LoadShedding {
-    /// Whether a box may stand back, where so many are ready, those that stand back counted.
+    /// Grants a box the permission to shed load, or renews it; false if too many others hold one. `ready` is the number of boxes
+    /// that take requests, including those that shed load.
     pub(crate) fn try_acquire(&mut self, from: BoxId, ready: usize, now_ms: u64) -> bool {
         self.0.retain(|_, until_ms| *until_ms > now_ms);
         let others = self.0.keys().filter(|id| **id != from).count();
-        let most = match ready {
+        let max_others = match ready {
             0 | 1 => 0,
-            ready => (ready / READY_FOR_EACH).max(1),
+            ready => (ready / READY_BOXES_PER_PERMISSION).max(1),
         };
-        if others >= most {
+        if others >= max_others {
             self.0.remove(&from);
             return false;
         }
-        self.0.insert(from, now_ms + HOLDS_MS);
+        self.0.insert(from, now_ms + PERMISSION_MS);
         true
     }
 
-    /// Whether another box than this one may stand back now.
+    /// Whether a box other than `me` holds a permission now.
     pub(crate) fn is_granted_to_others(&self, me: BoxId, now_ms: u64) -> bool {
         let mut others = self.0.iter().filter(|(id, _)| **id != me);
         others.any(|(_, until_ms)| *until_ms > now_ms)
@@ -45,59 +47,59 @@
 }
 
 impl Relay {
-    /// Answers a box that is overrun, also this one.
+    /// Answers an overloaded box, which may be this one, as coordinator.
     pub(crate) fn grant_load_shedding(&self, from: BoxId) -> bool {
         if from != self.id && self.stands_back() {
-            // Where the role moved, two that count would let all go.
+            // If the role moved, two coordinators could together let all boxes shed load.
             return false;
         }
         let now_ms = self.now_ms();
         let ready = self
             .members
             .borrow()
-            .ranked(COUNTING_ROLE, self.is_stopping(), now_ms)
+            .ranked(COORDINATOR_ROLE, self.is_stopping(), now_ms)
             .len();
-        let allowed = self
+        let granted = self
             .stand_backs
             .borrow_mut()
             .try_acquire(from, ready, now_ms);
-        slog::info!(self.log, "asked to stand back"; "box" => from.0, "allowed" => allowed,
+        slog::info!(self.log, "load shedding requested"; "box" => from.0, "allowed" => granted,
             "ready" => ready);
-        allowed
+        granted
     }
 
-    /// Asks whether this box may stand back. No answer is no.
+    /// Requests permission for this box to shed load. No answer counts as a refusal.
     pub(crate) async fn request_load_shedding(self: &Rc<Self>) -> bool {
         let now_ms = self.now_ms();
         let ranked = self
             .members
             .borrow()
-            .ranked(COUNTING_ROLE, self.is_stopping(), now_ms);
-        let Some(first) = ranked.first().copied() else {
+            .ranked(COORDINATOR_ROLE, self.is_stopping(), now_ms);
+        let Some(coordinator) = ranked.first().copied() else {
             return false;
         };
-        let counts = self
+        let has_granted = self
             .stand_backs
             .borrow()
             .is_granted_to_others(self.id, now_ms);
-        // Who allowed others counts itself with them, whoever is first now.
-        if counts || first == self.id {
+        // A box that has granted permissions counts its own with them, whichever box coordinates now.
+        if has_granted || coordinator == self.id {
             return self.grant_load_shedding(self.id);
         }
         let from = self.id;
         let call = self
             .peers
-            .call(first, CALL_LIMIT, |client, context| async move {
+            .call(coordinator, CALL_TIMEOUT, |client, context| async move {
                 client.stand_back(context, from).await
             });
-        self.heard_from(first, call.await, "stand back")
+        self.heard_from(coordinator, call.await, "stand back")
             .unwrap_or(false)
     }
 }
 
-/// Until when a permission that was asked for at a time holds.
-pub(crate) fn shedding_until_ms(asked_ms: u64) -> u64 {
-    asked_ms + HOLDS_MS
+/// Time in ms at which a permission requested at `requested_ms` expires.
+pub(crate) fn shedding_until_ms(requested_ms: u64) -> u64 {
+    requested_ms + PERMISSION_MS
 }
 
 #[cfg(test)]
--- a/components/relay/src/membership/members.rs
+++ b/components/relay/src/membership/members.rs
@@ -1,6 +1,5 @@
-//! Which boxes there are, from their keys in the store and from their own word, and which of them holds a
-//! role. A lapsed key is no proof of death, and a live key no proof of life: a box that does not answer is
-//! passed over for a while.
+//! The box list, from box keys in the store and from gossip, and which box holds a role. An expired key does not prove that a
+//! box is dead, nor a valid key that it is alive: a box that does not answer is suspected for a while and holds no role.
 
 use crate::membership::ranking::Ranking;
 use peers::FleetCard;
@@ -11,22 +10,22 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// A box that did not answer holds no role for this long; twice as long with each further failure.
+/// Duration of the suspicion of a box that did not answer, in ms; doubled with each further failure.
 const SUSPICION_MS: u64 = 1_000;
 const SUSPICION_MAX_MS: u64 = 16_000;
-/// A box whose key is gone and that says nothing is forgotten after this time.
+/// A box without a key that was not in contact for this long is removed from the list.
 pub(super) const SILENCE_TIMEOUT_MS: u64 = 10_000;
-/// The life in a box's key, which may have been written by another one.
+/// Incarnation in the card of a box's key, since a previous incarnation may have written the key.
 pub(crate) const INCARNATION_UNKNOWN: u32 = 0;
-/// How long the platform may still send channels to a box that stops: it asks each second, and believes the second
-/// answer.
+/// How long the platform may still route connections to a box that is stopping: it polls readiness every second, and acts on the
+/// second negative answer.
 const PLATFORM_REMOVAL_MS: u64 = 2_000;
-/// How often the keys of all boxes are read where they are few.
+/// Interval at which each box reads all box keys in a small fleet.
 pub(crate) const LIST_INTERVAL_MS: u64 = 30_000;
-/// As many boxes read as often as that; more share it.
+/// Up to this many boxes poll the store at full rate; larger fleets poll proportionally less often.
 const FULL_RATE_READERS: usize = 64;
 const INTERVAL_FACTOR_MAX: usize = 16;
-/// The number of boxes among which the budget is shared falls only after this time.
+/// How long the largest number of boxes is remembered for shared budgets, in ms.
 const PEAK_COUNT_KEPT_MS: u64 = 15_000;
 
 #[derive(Clone, Debug)]
@@ -36,19 +35,19 @@
     pub(super) last_seen_ms: u64,
     pub(super) suspected_until_ms: u64,
     pub(super) failures: u32,
-    /// Since when it is known to stop by plan.
+    /// Since when the box is known to be stopping gracefully, in ms.
     pub(super) stopping_since_ms: Option<u64>,
 }
 
 impl Member {
-    /// Whether it may hold a role, as far as it is known.
+    /// Whether the box may hold a role: not stopping, not suspected, and with a key or recent contact.
     pub(super) fn is_eligible(&self, now_ms: u64) -> bool {
         let known = self.keyed || self.last_seen_ms + SILENCE_TIMEOUT_MS > now_ms;
         !self.card.leaving && self.suspected_until_ms <= now_ms && known
     }
 }
 
-/// The boxes of a fleet.
+/// The boxes of the fleet, as this box knows them.
 #[derive(Clone, Debug)]
 pub(crate) struct Members {
     pub(super) own_id: BoxId,
@@ -58,27 +57,27 @@
     peak_count_ms: u64,
     store_follower_ms: u64,
     contact_ms: u64,
-    /// Boxes that were looked at to rank them, each time counted.
+    /// Total number of boxes examined for rankings.
     pub(super) ranking_checks: Cell<u64>,
-    /// Who holds which role, and whether this box may: worked out where it is asked, and kept until a box changes.
+    /// Rankings by role and by whether this box is leaving: computed on demand, and cached until the box list changes.
     pub(super) rankings: RefCell<HashMap<(u64, bool), Ranking>>,
 }
 
-/// What a card changed.
+/// Effect of a card or a contact on the box list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MemberUpdate {
-    /// It was known.
+    /// The box was known, and holds the same roles.
     Unchanged,
-    /// It was known, and holds roles again or no more.
+    /// The box was known, and regained or lost its roles.
     RolesChanged,
-    /// The box is new, or has a new life or address.
+    /// The box is new, or has a new incarnation or address.
     New,
 }
 
 fn is_same_incarnation(known: &FleetCard, card: &FleetCard) -> bool {
-    let lives = [known.life, card.life];
-    let is_told = !lives.contains(&INCARNATION_UNKNOWN);
-    known.address == card.address && (!is_told || known.life == card.life)
+    let incarnations = [known.life, card.life];
+    let are_known = !incarnations.contains(&INCARNATION_UNKNOWN);
+    known.address == card.address && (!are_known || known.life == card.life)
 }
 
 impl Members {
@@ -102,13 +101,13 @@
         self.invalidate_rankings();
     }
 
-    /// Takes the card of a box in, from its key or from its own word.
+    /// Adds or updates a box by its card, from its key in the store (`keyed`) or from gossip.
     pub(crate) fn upsert(&mut self, card: FleetCard, keyed: bool, now_ms: u64) -> MemberUpdate {
         if card.id == self.own_id {
             return MemberUpdate::Unchanged;
         }
         let known = self.others.get(&card.id);
-        let same = known.is_some_and(|known| is_same_incarnation(&known.card, &card));
+        let same_incarnation = known.is_some_and(|known| is_same_incarnation(&known.card, &card));
         let before = known.map(|known| (known.card.life, known.card.leaving));
         let was_eligible = known.map(|known| (known.is_eligible(now_ms), known.card.link_mbps));
         let member = self.others.entry(card.id).or_insert_with(|| Member {
@@ -121,23 +120,23 @@
         });
         let changes_roles =
             member.suspected_until_ms > now_ms || card.leaving != member.card.leaving;
-        let stops = card.leaving.then_some(now_ms);
-        member.stopping_since_ms = match same {
-            true => member.stopping_since_ms.or(stops),
-            false => stops,
+        let stopping_since = card.leaving.then_some(now_ms);
+        member.stopping_since_ms = match same_incarnation {
+            true => member.stopping_since_ms.or(stopping_since),
+            false => stopping_since,
         };
         member.card = card;
-        if let Some((life, leaving)) = before.filter(|_| same)
+        if let Some((incarnation, leaving)) = before.filter(|_| same_incarnation)
             && member.card.life == INCARNATION_UNKNOWN
         {
-            member.card.life = life;
+            member.card.life = incarnation;
             member.card.leaving |= leaving;
         }
         member.keyed |= keyed;
         if !keyed {
             self.contact_ms = now_ms;
         }
-        if !keyed || !same {
+        if !keyed || !same_incarnation {
             member.last_seen_ms = now_ms;
             member.suspected_until_ms = 0;
             member.failures = 0;
@@ -147,14 +146,14 @@
             self.invalidate_rankings();
         }
         self.update_peak_count(now_ms);
-        match same {
+        match same_incarnation {
             true if changes_roles && !keyed => MemberUpdate::RolesChanged,
             true => MemberUpdate::Unchanged,
             false => MemberUpdate::New,
         }
     }
 
-    /// Keeps the keys of just these boxes.
+    /// Sets which boxes have a key in the store.
     pub(crate) fn set_keyed(&mut self, ids: &[BoxId]) {
         let ids: HashSet<BoxId> = ids.iter().copied().collect();
         for (id, member) in &mut self.others {
@@ -163,7 +162,7 @@
         self.invalidate_rankings();
     }
 
-    /// Notes that a box answered. Says whether it holds roles again.
+    /// Records that a box answered, which ends its suspicion. Returns whether it regained its roles.
     pub(crate) fn record_contact(&mut self, id: BoxId, now_ms: u64) -> MemberUpdate {
         self.contact_ms = now_ms;
         let Some(member) = self.others.get_mut(&id) else {
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Notes that a box did not answer.
+    /// Records that a box did not answer, and suspects it for a while.
     pub(crate) fn record_failure(&mut self, id: BoxId, now_ms: u64) {
         if let Some(member) = self.others.get_mut(&id) {
             let suspicion_ms = (SUSPICION_MS << member.failures.min(8)).min(SUSPICION_MAX_MS);
@@ -193,11 +192,11 @@
         }
     }
 
-    /// Forgets boxes that have neither a key nor a word. Says which.
+    /// Removes boxes that have no key and were not in contact for `SILENCE_TIMEOUT_MS`. Returns them.
     pub(crate) fn expire_silent(&mut self, now_ms: u64) -> Vec<BoxId> {
-        let silent =
+        let is_silent =
             |member: &Member| !member.keyed && member.last_seen_ms + SILENCE_TIMEOUT_MS < now_ms;
-        let gone = self.others.iter().filter(|(_, member)| silent(member));
+        let gone = self.others.iter().filter(|(_, member)| is_silent(member));
         let gone: Vec<BoxId> = gone.map(|(id, _)| *id).collect();
         for id in &gone {
             self.others.remove(id);
@@ -209,24 +208,24 @@
         gone
     }
 
-    /// All other boxes that are known.
+    /// All other known boxes, sorted.
     pub(crate) fn others(&self) -> Vec<BoxId> {
         let mut ids: Vec<BoxId> = self.others.keys().copied().collect();
         ids.sort();
         ids
     }
 
-    /// The other boxes of a data centre.
+    /// The other boxes of a data centre, sorted.
     pub(crate) fn others_in(&self, data_centre: &str) -> Vec<BoxId> {
-        let there = |member: &&Member| &*member.card.data_centre == data_centre;
-        let near = self.others.values().filter(there);
+        let is_near = |member: &&Member| &*member.card.data_centre == data_centre;
+        let near = self.others.values().filter(is_near);
         let mut ids: Vec<BoxId> = near.map(|member| member.card.id).collect();
         ids.sort();
         ids
     }
 
-    /// All other boxes with their data centres, those of one together, and in each first those that answer and have
-    /// the widest links: they pass on what they are told.
+    /// All other boxes, grouped by data centre. In each data centre the boxes that answer and have the widest links come first,
+    /// since they forward broadcasts.
     pub(crate) fn broadcast_order(&self, now_ms: u64) -> Vec<(BoxId, DataCentreId)> {
         let mut members: Vec<&Member> = self.others.values().collect();
         members.sort_by_key(|member| {
@@ -239,25 +238,25 @@
                 card.id,
             )
         });
-        let place = |member: &Member| DataCentreId::from_name(&member.card.data_centre);
+        let data_centre_of = |member: &Member| DataCentreId::from_name(&member.card.data_centre);
         members
             .into_iter()
-            .map(|member| (member.card.id, place(member)))
+            .map(|member| (member.card.id, data_centre_of(member)))
             .collect()
     }
 
-    /// The cards of other boxes, `most` of them: half of these with the widest links, who hold roles, the others drawn.
-    pub(crate) fn cards(&self, most: usize) -> Vec<FleetCard> {
+    /// The cards of up to `max_cards` other boxes: half of them with the widest links, which tend to hold roles, the rest random.
+    pub(crate) fn cards(&self, max_cards: usize) -> Vec<FleetCard> {
         let mut cards: Vec<&FleetCard> = self.others.values().map(|member| &member.card).collect();
-        if cards.len() > most {
+        if cards.len() > max_cards {
             cards.sort_by_key(|card| Reverse(card.link_mbps));
-            cards[most / 2..].shuffle(&mut rand::rng());
-            cards.truncate(most);
+            cards[max_cards / 2..].shuffle(&mut rand::rng());
+            cards.truncate(max_cards);
         }
         cards.into_iter().cloned().collect()
     }
 
-    /// Notes how many others another box knows: this one may not have met them all yet.
+    /// Records how many other boxes a peer knows; this box may not have met all of them yet.
     pub(crate) fn record_reported_count(&mut self, others: u32, now_ms: u64) {
         let count = others as usize + 1;
         if count >= self.peak_count {
@@ -271,105 +270,105 @@
         self.others.get(&id).map(|member| &member.card)
     }
 
-    /// The box that holds a role among those of a data centre, or among all where none there can; this one counts with
-    /// its own data centre `me`, if any. None where there is no box.
+    /// The box that holds a role: the rendezvous owner among the eligible boxes of a data centre, or among all eligible boxes if it
+    /// has none. This box takes part if `own_data_centre` is given. None if no box is eligible.
     pub(crate) fn role_holder_near(
         &self,
         role: u64,
         data_centre: DataCentreId,
-        me: Option<DataCentreId>,
+        own_data_centre: Option<DataCentreId>,
         now_ms: u64,
     ) -> Option<BoxId> {
         let others = self
             .others
             .values()
             .filter(|member| member.is_eligible(now_ms));
-        let place = |member: &Member| DataCentreId::from_name(&member.card.data_centre);
-        let others = others.map(|member| (member.card.id, place(member)));
-        let able = others.chain(me.map(|place| (self.own_id, place)));
-        let near = able.clone().filter(|(_, place)| *place == data_centre);
+        let data_centre_of = |member: &Member| DataCentreId::from_name(&member.card.data_centre);
+        let others = others.map(|member| (member.card.id, data_centre_of(member)));
+        let eligible = others.chain(own_data_centre.map(|data_centre| (self.own_id, data_centre)));
+        let near = eligible.clone().filter(|(_, other)| *other == data_centre);
         let near = rendezvous_owner(role, near.map(|(id, _)| id));
-        near.or_else(|| rendezvous_owner(role, able.map(|(id, _)| id)))
+        near.or_else(|| rendezvous_owner(role, eligible.map(|(id, _)| id)))
     }
 
-    /// How many boxes can hold a role, this one counted.
+    /// Number of boxes that are eligible for roles, including this one.
     pub(crate) fn eligible_count(&self, now_ms: u64) -> usize {
         let others = self.others.values();
         others.filter(|member| member.is_eligible(now_ms)).count() + 1
     }
 
-    /// How many boxes were looked at to rank them, each time counted: what asking who holds a role costs grows with it.
+    /// Total number of boxes examined for rankings, as a measure of their cost.
     #[cfg(test)]
     pub(crate) fn ranking_checks(&self) -> u64 {
         self.ranking_checks.get()
     }
 
-    /// Notes that a box that follows the store said so.
+    /// Records gossip from a box that follows the store.
     pub(crate) fn record_store_follower(&mut self, now_ms: u64) {
         self.store_follower_ms = now_ms;
     }
 
-    /// When a box that follows the store last said so.
+    /// Time of the last gossip from a box that follows the store, in ms.
     pub(crate) fn store_follower_seen_ms(&self) -> u64 {
         self.store_follower_ms
     }
 
-    /// When any box last answered or called this one.
+    /// Time at which any box last answered or called this one, in ms.
     pub(crate) fn last_contact_ms(&self) -> u64 {
         self.contact_ms
     }
 
-    /// How likely a caller that this box sends away, and that comes back at once, finds a box that does not stop,
-    /// between 0 and 1. The platform still sends channels to boxes that stop until it has asked them twice, and to
-    /// all that listen where fewer than half do not stop.
+    /// Probability that a caller which this box turns away, and which reconnects at once, reaches a box that is not stopping. The
+    /// platform still routes connections to a stopping box until it has polled it twice, and to all boxes that listen if fewer than
+    /// half are not stopping.
     pub(crate) fn reconnect_chance(&self, now_ms: u64) -> f64 {
-        let lives =
+        let is_alive =
             |member: &&Member| member.keyed || member.last_seen_ms + SILENCE_TIMEOUT_MS > now_ms;
-        let up = self.others.values().filter(lives);
-        let up = up
+        let staying = self.others.values().filter(is_alive);
+        let staying = staying
             .filter(|member| member.stopping_since_ms.is_none())
             .count();
-        let all_in = up * 2 < self.others.len() + 1;
-        let still_in = |member: &&Member| {
+        let all_routed = staying * 2 < self.others.len() + 1;
+        let is_routed = |member: &&Member| {
             let since_ms = member.stopping_since_ms;
-            since_ms.is_some_and(|since_ms| all_in || since_ms + PLATFORM_REMOVAL_MS > now_ms)
+            since_ms.is_some_and(|since_ms| all_routed || since_ms + PLATFORM_REMOVAL_MS > now_ms)
         };
-        let stopping = self.others.values().filter(still_in).count();
-        match up + stopping {
+        let stopping = self.others.values().filter(is_routed).count();
+        match staying + stopping {
             0 => 0.0,
-            asked => up as f64 / asked as f64,
+            candidates => staying as f64 / candidates as f64,
         }
     }
 
-    /// Since when the first of the other boxes that stop does.
+    /// Time at which the first of the stopping other boxes began to stop, in ms.
     pub(crate) fn first_stop_ms(&self) -> Option<u64> {
-        let stops = self.others.values().map(|member| member.stopping_since_ms);
-        stops.flatten().min()
+        let stopping_since = self.others.values().map(|member| member.stopping_since_ms);
+        stopping_since.flatten().min()
     }
 
-    /// Whether the keys of all boxes are to be read, where they were read so long ago: often while another box knows of more
-    /// than this one, and otherwise the less often the more there are, so that what all read does not grow with their square.
+    /// Whether to read all box keys again, `read_ms_ago` ms after the last read. The interval is short while a peer knows of more
+    /// boxes than this one. Otherwise it grows with the number of boxes, so that the reads of all boxes don't grow quadratically.
     pub(crate) fn is_list_due(&self, read_ms_ago: u64) -> bool {
-        let knows_less = self.others.len() + 1 < self.peak_count;
-        let times = match knows_less {
+        let has_unmet_boxes = self.others.len() + 1 < self.peak_count;
+        let factor = match has_unmet_boxes {
             true => 1,
             false => self.interval_factor(),
         };
-        read_ms_ago >= LIST_INTERVAL_MS * times
+        read_ms_ago >= LIST_INTERVAL_MS * factor
     }
 
-    /// By how much less often than a few boxes each of so many asks the store for what all of them ask for. Boxes that others
-    /// told of count, also those that this one has not met yet.
+    /// Factor by which each box lengthens the intervals of its periodic store calls compared with a small fleet. It depends on
+    /// `peak_box_count`, and so includes boxes reported by peers.
     pub(crate) fn interval_factor(&self) -> u64 {
         (self.peak_box_count() / FULL_RATE_READERS).clamp(1, INTERVAL_FACTOR_MAX) as u64
     }
 
-    /// Among how many boxes a shared budget is divided: the most that there were lately.
+    /// Largest recent number of boxes, by which shared budgets are divided. Includes boxes that only peers know.
     pub(crate) fn peak_box_count(&self) -> usize {
         self.peak_count.max(self.others.len() + 1)
     }
 
-    /// The same boxes, with nothing worked out of them.
+    /// A copy without cached rankings.
     #[cfg(test)]
     fn without_cache(&self) -> Self {
         Self {
--- a/components/relay/src/membership/members_tests.rs
+++ b/components/relay/src/membership/members_tests.rs
@@ -2,10 +2,10 @@
 
 const ROLE: u64 = 7;
 
-fn card(id: u32, life: u32, leaving: bool) -> FleetCard {
+fn card(id: u32, incarnation: u32, leaving: bool) -> FleetCard {
     FleetCard {
         id: BoxId(id),
-        life,
+        life: incarnation,
         name: format!("box-{id}").into(),
         address: "127.0.0.1:1".parse().unwrap(),
         data_centre: "hall".into(),
@@ -14,7 +14,7 @@
     }
 }
 
-fn three() -> Members {
+fn three_boxes() -> Members {
     let mut members = Members::new(BoxId(1), 1_000);
     members.upsert(card(2, 1, false), true, 0);
     members.upsert(card(3, 1, false), true, 0);
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_box_that_does_not_answer_holds_no_role_for_longer_each_time() {
-    let mut members = three();
+fn suspicion_of_an_unresponsive_box_lasts_longer_after_each_failure() {
+    let mut members = three_boxes();
     let first = members.ranked(ROLE, true, 0)[0];
     members.record_failure(first, 0);
     assert_ne!(members.ranked(ROLE, true, 500)[0], first);
@@ -35,15 +35,15 @@
 }
 
 #[test]
-fn a_box_that_stops_holds_no_role() {
-    let mut members = three();
+fn a_stopping_box_holds_no_role() {
+    let mut members = three_boxes();
     members.upsert(card(2, 1, true), false, 10);
     assert_eq!(*members.ranked(ROLE, true, 20), [BoxId(3)]);
 }
 
 #[test]
-fn a_key_that_a_former_life_wrote_takes_nothing_back() {
-    let mut members = three();
+fn key_of_a_previous_incarnation_does_not_override_gossip() {
+    let mut members = three_boxes();
     members.upsert(card(2, 5, true), false, 10);
     assert_eq!(
         members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 20),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_box_known_by_its_key_is_the_same_when_it_speaks() {
+fn first_gossip_of_a_box_known_by_its_key_does_not_make_it_new() {
     let mut members = Members::new(BoxId(1), 1_000);
     assert_eq!(
         members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 0),
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn the_budget_is_shared_among_the_boxes_that_another_knows() {
-    let mut members = three();
+fn peak_box_count_includes_boxes_known_to_a_peer() {
+    let mut members = three_boxes();
     members.record_reported_count(40, 10);
     assert_eq!(members.peak_box_count(), 41);
 }
 
 #[test]
-fn those_that_pass_on_answer_and_have_wide_links() {
+fn broadcast_order_prefers_wide_links_and_puts_suspected_boxes_last() {
     let mut members = Members::new(BoxId(1), 1_000);
     for (id, link_mbps) in [(2, 20), (3, 200), (4, 100), (5, 400)] {
         let card = FleetCard {
@@ -95,16 +95,16 @@
 }
 
 #[test]
-fn a_box_with_a_key_is_kept_and_one_without_a_word_is_forgotten() {
-    let mut members = three();
+fn silent_box_is_removed_unless_it_has_a_key() {
+    let mut members = three_boxes();
     members.set_keyed(&[BoxId(2)]);
     assert_eq!(members.expire_silent(60_000), [BoxId(3)]);
     assert_eq!(members.others(), [BoxId(2)]);
 }
 
 #[test]
-fn the_budget_is_shared_among_the_most_boxes_seen_lately() {
-    let mut members = three();
+fn peak_box_count_falls_only_after_a_delay() {
+    let mut members = three_boxes();
     members.set_keyed(&[]);
     members.expire_silent(12_000);
     assert_eq!(members.peak_box_count(), 3);
@@ -113,13 +113,13 @@
 }
 
 #[test]
-fn a_caller_sent_away_may_meet_a_box_that_has_just_begun_to_stop() {
-    let mut members = three();
+fn reconnect_chance_counts_boxes_that_have_just_begun_to_stop() {
+    let mut members = three_boxes();
     assert_eq!(members.reconnect_chance(0), 1.0);
     members.upsert(card(2, 1, true), false, 1_000);
     assert_eq!(members.reconnect_chance(1_500), 0.5);
     assert_eq!(members.first_stop_ms(), Some(1_000));
-    // Fewer than half do not stop, so that the platform goes on asking all.
+    // Fewer than half of the boxes are not stopping, so the platform still routes to all of them.
     assert_eq!(members.reconnect_chance(4_000), 0.5);
     members.upsert(card(3, 1, true), false, 4_000);
     assert_eq!(members.reconnect_chance(4_000), 0.0);
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn a_box_that_has_long_been_stopping_is_met_no_more_where_most_do_not_stop() {
-    let mut members = three();
+fn reconnect_chance_leaves_out_a_box_that_has_been_stopping_for_long() {
+    let mut members = three_boxes();
     for id in [4, 5, 6] {
         members.upsert(card(id, 1, false), true, 0);
     }
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn roles_go_to_boxes_with_wide_links_first() {
+fn boxes_with_wide_links_rank_first() {
     let mut members = Members::new(BoxId(1), 10);
     for id in 2..20 {
         let wide = id % 6 == 0;
@@ -156,8 +156,8 @@
     assert_eq!(order.len(), 19);
 }
 
-/// So many boxes, one in twenty with a wide link.
-fn crowd(boxes: u32) -> Members {
+/// A fleet of `boxes` boxes, one in twenty with a wide link.
+fn fleet(boxes: u32) -> Members {
     let mut members = Members::new(BoxId(0), 20);
     for id in 1..boxes {
         let link_mbps = if id % 20 == 0 { 200 } else { 20 };
@@ -173,41 +173,41 @@
 #[rstest::rstest]
 #[case::boxes_100(100)]
 #[case::boxes_1_000(1_000)]
-fn who_holds_a_role_is_worked_out_once_while_nothing_changes(#[case] boxes: u32) {
-    let members = crowd(boxes);
+fn ranking_is_computed_once_while_the_box_list_is_unchanged(#[case] boxes: u32) {
+    let members = fleet(boxes);
     for at_ms in 0..100 {
         for role in [ROLE, ROLE + 1] {
             assert_eq!(members.ranked(role, false, at_ms).len(), boxes as usize);
         }
     }
-    let looks = members.ranking_checks();
-    assert!(looks <= 2 * u64::from(boxes), "{looks}");
+    let checks = members.ranking_checks();
+    assert!(checks <= 2 * u64::from(boxes), "{checks}");
 }
 
-/// Compares the order with that of a list of boxes of which nothing was asked before.
-fn assert_as_if_new(members: &Members, now_ms: u64) {
+/// Asserts that the cached order equals a freshly computed one.
+fn assert_cache_is_valid(members: &Members, now_ms: u64) {
     let fresh = Members {
         ranking_checks: Cell::default(),
         ..members.without_cache()
     };
     for leaving in [false, true] {
-        let (order, new) = (
+        let (cached, computed) = (
             members.ranked(ROLE, leaving, now_ms),
             fresh.ranked(ROLE, leaving, now_ms),
         );
-        assert_eq!(order, new, "at {now_ms} ms");
+        assert_eq!(cached, computed, "at {now_ms} ms");
     }
 }
 
 #[test]
-fn who_holds_a_role_follows_what_is_known_of_boxes() {
-    let mut members = crowd(40);
+fn cached_ranking_follows_changes_of_the_box_list() {
+    let mut members = fleet(40);
     let unkeyed = FleetCard {
         link_mbps: 200,
         ..card(50, 1, false)
     };
     members.upsert(unkeyed, false, 0);
-    assert_as_if_new(&members, 0);
+    assert_cache_is_valid(&members, 0);
     for at_ms in (0..40_000).step_by(250) {
         match at_ms {
             1_000 => members.record_failure(BoxId(20), at_ms),
@@ -221,13 +221,13 @@
             31_000 => drop(members.upsert(card(60, 1, false), true, at_ms)),
             _ => {}
         }
-        assert_as_if_new(&members, at_ms);
+        assert_cache_is_valid(&members, at_ms);
     }
 }
 
-/// How often boxes read the keys of all in an hour of quiet, in bytes a second of one box where a key takes 330.
-fn list_bytes_a_second(boxes: u32) -> f64 {
-    let members = crowd(boxes);
+/// Bytes per second that one box reads of all box keys, over an hour without changes, with 330 bytes per key.
+fn list_bytes_per_second(boxes: u32) -> f64 {
+    let members = fleet(boxes);
     let (mut reads, mut read_ms) = (0, 0);
     for now_ms in (0..3_600_000).step_by(10_000) {
         if members.is_list_due(now_ms - read_ms) {
@@ -242,21 +242,21 @@
 #[case::boxes_8(8)]
 #[case::boxes_100(100)]
 #[case::boxes_1_000(1_000)]
-fn reading_the_keys_of_all_boxes_takes_a_box_about_a_kilobyte_a_second(#[case] boxes: u32) {
-    let bytes = list_bytes_a_second(boxes);
-    assert!(bytes < 1_200.0, "{bytes} bytes a second");
+fn reading_all_box_keys_takes_a_box_about_a_kilobyte_per_second(#[case] boxes: u32) {
+    let bytes = list_bytes_per_second(boxes);
+    assert!(bytes < 1_200.0, "{bytes} bytes per second");
 }
 
 #[test]
-fn a_box_that_hears_of_more_boxes_than_it_knows_reads_their_keys_soon() {
-    let mut members = crowd(1_000);
+fn a_report_of_unknown_boxes_shortens_the_read_interval() {
+    let mut members = fleet(1_000);
     assert!(!members.is_list_due(LIST_INTERVAL_MS - 1));
     members.record_reported_count(1_000, 5_000);
     assert!(members.is_list_due(LIST_INTERVAL_MS));
 }
 
-/// The boxes 1 to 6, every other one in the barn; this one is 1 and stands in the hall.
-fn two_places() -> Members {
+/// Boxes 1 to 6, the even ones in data centre "barn", the odd ones in "hall". This box is 1.
+fn two_data_centres() -> Members {
     let mut members = Members::new(BoxId(1), 1_000);
     for id in 2..=6 {
         let data_centre = if id % 2 == 0 { "barn" } else { "hall" };
@@ -270,12 +270,12 @@
 }
 
 #[test]
-fn a_role_near_a_data_centre_is_held_there_as_long_as_a_box_there_can() {
+fn role_near_a_data_centre_is_held_there_while_a_box_there_is_eligible() {
     let (hall, barn) = (
         DataCentreId::from_name("hall"),
         DataCentreId::from_name("barn"),
     );
-    let mut members = two_places();
+    let mut members = two_data_centres();
     for role in 0..20 {
         let holder = members.role_holder_near(role, barn, Some(hall), 0).unwrap();
         assert_eq!(holder.0 % 2, 0);
@@ -286,14 +286,14 @@
         members.record_failure(BoxId(id), 0);
     }
     let holder = members.role_holder_near(ROLE, barn, Some(hall), 0).unwrap();
-    assert_eq!(holder.0 % 2, 1, "none in the barn answers");
+    assert_eq!(holder.0 % 2, 1, "no box in the barn answers");
     assert_eq!(members.eligible_count(0), 3);
 }
 
 #[test]
-fn all_boxes_name_the_same_holder_of_a_role_near_a_data_centre() {
+fn all_boxes_agree_on_the_holder_of_a_role_near_a_data_centre() {
     let hall = DataCentreId::from_name("hall");
-    let mine = two_places();
+    let mine = two_data_centres();
     let mut others = Members::new(BoxId(3), 1_000);
     for id in [1, 2, 4, 5, 6] {
         let data_centre = if id % 2 == 0 { "barn" } else { "hall" };
--- a/components/relay/src/membership/missing.rs
+++ b/components/relay/src/membership/missing.rs
@@ -1,61 +1,60 @@
-//! What a box lacks that hears what another one knows, and when it asks for it. News of a change is mostly on its
-//! way: while lists change all the time, every box is behind some other one at every moment, and asking costs both a pass
-//! over their lists.
+//! Which data a peer has and this box is missing, and when to fetch it. A missing change usually arrives by broadcast: while
+//! lists keep changing, every box is always behind some other one, and a fetch costs both a pass over their lists.
 
 use prelude::Version;
 
-/// How long news may be on its way: a broadcast through three boxes, one of which is slow or does not answer.
-const ON_ITS_WAY_MS: u64 = 300;
+/// How long a broadcast may take to arrive: it passes through three boxes, one of which is slow or does not answer.
+const BROADCAST_DELAY_MS: u64 = 300;
 
-/// So many boxes at the most ask at once a box that has told all.
-const ASK_TELLER_MAX: f64 = 24.0;
+/// Largest expected number of boxes that fetch at once from a box that broadcast to all.
+const MAX_CONCURRENT_FETCHES: f64 = 24.0;
 
-/// What another box knows and this one lacks.
+/// What another box has and this one is missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MissingData {
-    /// The operators' declarations, or their newest version.
+    /// The operators' declarations in their newest version.
     pub table: bool,
-    /// Changes of targets, or the whole list.
+    /// Changes of targets, or the whole target list.
     pub targets: bool,
-    /// Other boxes.
+    /// Boxes that this one has not met.
     pub boxes: bool,
 }
 
 impl MissingData {
-    /// Whether it lacks anything.
+    /// Whether anything is missing.
     pub fn any(self) -> bool {
         self.table || self.targets || self.boxes
     }
 
-    /// What of it to ask of a box that has told all boxes something, where this one `knows_list`. All of so many `boxes` hear it
-    /// at one time: who lacks the whole list or other boxes asks for them in an exchange, of which each box has its own, and of
-    /// those that missed a change some ask at once, by a `lot` from 0 to 1.
-    pub fn after_broadcast(self, knows_list: bool, boxes: usize, lot: f64) -> Self {
-        let is_drawn = lot * (boxes as f64) < ASK_TELLER_MAX;
+    /// The part to fetch at once from the sender of a broadcast, where `knows_list` says whether this box has a target list. All
+    /// `boxes` receive a broadcast at the same time, so the whole list and unknown boxes are left to the periodic exchanges, which
+    /// are spread over time, and of the boxes that missed a change only a random sample fetches, by the `random` number in 0..1.
+    pub fn after_broadcast(self, knows_list: bool, boxes: usize, random: f64) -> Self {
+        let is_sampled = random * (boxes as f64) < MAX_CONCURRENT_FETCHES;
         Self {
-            targets: self.targets && knows_list && is_drawn,
+            targets: self.targets && knows_list && is_sampled,
             boxes: false,
             ..self
         }
     }
 }
 
-/// Since when this box has lacked changes of targets.
+/// Since when this box has been missing changes of targets.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MissingChanges {
-    /// Up to which version another box had changes, and when this box heard so.
-    noted: Option<(Version, u64)>,
+    /// A newer version that a peer reported, and the time of that report in ms.
+    first_report: Option<(Version, u64)>,
 }
 
 impl MissingChanges {
-    /// Whether to ask now, where another box has changes up to `told` and this one up to `own`.
-    pub fn is_fetch_due(&mut self, own: Version, told: Version, now_ms: u64) -> bool {
-        self.noted = self.noted.filter(|(version, _)| own < *version);
-        if own >= told {
+    /// Whether to fetch now, where a peer reports changes up to `reported` and this box has those up to `own`.
+    pub fn is_fetch_due(&mut self, own: Version, reported: Version, now_ms: u64) -> bool {
+        self.first_report = self.first_report.filter(|(version, _)| own < *version);
+        if own >= reported {
             return false;
         }
-        let (_, since_ms) = *self.noted.get_or_insert((told, now_ms));
-        now_ms >= since_ms + ON_ITS_WAY_MS
+        let (_, since_ms) = *self.first_report.get_or_insert((reported, now_ms));
+        now_ms >= since_ms + BROADCAST_DELAY_MS
     }
 }
 
--- a/components/relay/src/membership/mod.rs
+++ b/components/relay/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which boxes there are, and how they tell each other what they know.
+//! Membership of the fleet: which boxes exist, and the gossip between them.
 
 pub(crate) mod broadcast;
 pub(crate) mod compression;
--- a/components/relay/src/membership/ranking.rs
+++ b/components/relay/src/membership/ranking.rs
@@ -1,29 +1,29 @@
-//! Who holds a role: worked out where it is asked, and kept until a box changes.
+//! Order in which boxes hold a role: computed on demand, and cached until the box list changes.
 
 use crate::membership::members::{Members, SILENCE_TIMEOUT_MS};
 use policy::rendezvous_order;
 use prelude::BoxId;
 use std::rc::Rc;
 
-/// A link is wide where it has this part of the widest one's bandwidth or more.
+/// A link counts as wide if it has at least the widest link's bandwidth divided by this.
 const WIDE_LINK_DIVISOR: u64 = 2;
 
-/// The boxes in the order in which they hold a role.
+/// A cached order of the boxes for one role.
 #[derive(Clone, Debug)]
 pub(super) struct Ranking {
     order: Rc<[BoxId]>,
-    /// When a box is suspected no more, or has been silent for too long.
+    /// When the next suspicion expires, or the next box without a key counts as silent, in ms.
     valid_until_ms: u64,
 }
 
 impl Members {
-    /// The boxes in the order in which they hold `role`: whoever holds one tells many others, so those with
-    /// wide links come first. Those that stop or do not answer hold none.
+    /// The eligible boxes in order of priority for `role`, without this one if it is `leaving`. Boxes with wide links come first,
+    /// since the holder of a role sends to many others. Boxes that are stopping or do not answer hold no role.
     pub(crate) fn ranked(&self, role: u64, leaving: bool, now_ms: u64) -> Rc<[BoxId]> {
         let mut rankings = self.rankings.borrow_mut();
-        let known = rankings.get(&(role, leaving));
-        if let Some(known) = known.filter(|known| now_ms < known.valid_until_ms) {
-            return known.order.clone();
+        let cached = rankings.get(&(role, leaving));
+        if let Some(cached) = cached.filter(|cached| now_ms < cached.valid_until_ms) {
+            return cached.order.clone();
         }
         let ranking = self.rank(role, leaving, now_ms);
         let order = ranking.order.clone();
@@ -38,9 +38,13 @@
         let others = others.filter(|member| member.is_eligible(now_ms));
         let others = others.map(|member| (member.card.id, member.card.link_mbps));
         let me = (!leaving).then_some((self.own_id, self.own_link_mbps));
-        let able: Vec<(BoxId, u32)> = others.chain(me).collect();
-        let widest = able.iter().map(|(_, link)| *link).max().unwrap_or_default();
-        let (wide, narrow): (Vec<_>, Vec<_>) = able
+        let eligible: Vec<(BoxId, u32)> = others.chain(me).collect();
+        let widest = eligible
+            .iter()
+            .map(|(_, link)| *link)
+            .max()
+            .unwrap_or_default();
+        let (wide, narrow): (Vec<_>, Vec<_>) = eligible
             .into_iter()
             .partition(|(_, link)| u64::from(*link) * WIDE_LINK_DIVISOR >= u64::from(widest));
         let in_order =
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Has who holds roles worked out anew.
+    /// Discards the cached orders.
     pub(super) fn invalidate_rankings(&mut self) {
         self.rankings.get_mut().clear();
     }
--- a/components/relay/src/membership/startup.rs
+++ b/components/relay/src/membership/startup.rs
@@ -1,5 +1,5 @@
-//! What a box that has just started waits for before it acts: the word of its seeds, then the operators'
-//! declarations and the list of targets.
+//! What a starting box waits for before it acts: the responses of its seeds, then the operators' declarations and the target
+//! list.
 
 use crate::state::Relay;
 use crate::watch::election::View;
@@ -7,28 +7,27 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a box that starts waits for the word of its seeds, before it asks the store as well. A seed that
-/// lives answers in some 25 ms from another data centre; one whose machine is off never does, and where all
-/// boxes died at once nobody else knows anything.
-const SEEDS_LIMIT: Duration = Duration::from_millis(40);
-/// How long a request waits for a box that has just started to learn the declarations and targets. A store
-/// at a sixtieth of its speed answers in a quarter of a second, and is asked twice for targets.
-const INFORMED_LIMIT: Duration = Duration::from_millis(1_000);
+/// How long a starting box waits for its seeds before it queries the store as well. A live seed in another data centre answers
+/// in about 25 ms; one whose machine is off never does, and after a crash of all boxes no seed knows anything.
+const SEEDS_TIMEOUT: Duration = Duration::from_millis(40);
+/// How long a request waits for a starting box to learn the declarations and targets. A store at a sixtieth of its speed
+/// answers in 250 ms, and learning the targets takes two calls.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Relay {
-    /// Waits until the boxes that the settings name were asked, for a short time at the most.
+    /// Waits until the seeds of the settings were queried, for at most `SEEDS_TIMEOUT`.
     pub(crate) async fn wait_for_seeds(&self) {
         let mut asked = self.seeds_asked.subscribe();
-        // A seed that is silent is not waited for: the store knows what it would say.
-        let _ = timeout(SEEDS_LIMIT, asked.wait_for(|asked| *asked)).await;
+        // A silent seed is not waited for: the store has the same information.
+        let _ = timeout(SEEDS_TIMEOUT, asked.wait_for(|asked| *asked)).await;
     }
 
-    /// Whether this box knows what operators declared and where targets are.
+    /// Whether this box knows the declarations and the target list.
     pub(crate) fn is_synced(&self) -> bool {
         self.knows(View::Declarations) && self.knows(View::Targets)
     }
 
-    /// Whether this box knows a view, perhaps as it was some seconds ago.
+    /// Whether this box knows a view, which may be some seconds old.
     pub(crate) fn knows(&self, view: View) -> bool {
         match view {
             View::Declarations => self.declared.borrow().is_some(),
@@ -36,8 +35,8 @@
         }
     }
 
-    /// Gives a box that has just started the moment that it needs to learn what it decides by: a refusal would
-    /// cost the caller more.
+    /// Delays a request at a starting box until the box knows the declarations and targets, for at most `SYNC_TIMEOUT`: a refusal
+    /// would cost the caller more.
     pub(crate) async fn wait_until_synced(&self) {
         if !self.file().has(Mechanism::HeldStarts) {
             return;
@@ -46,8 +45,8 @@
             self.wait_until_known(View::Declarations).await;
             self.wait_until_known(View::Targets).await;
         };
-        // After the limit the request is answered by what is known, which may be nothing.
-        let _ = timeout(INFORMED_LIMIT, synced).await;
+        // After the timeout the request is handled with whatever is known, which may be nothing.
+        let _ = timeout(SYNC_TIMEOUT, synced).await;
     }
 
     /// Waits until this box knows a view.
