--- a/components/relay/src/membership/members_tests.rs
+++ b/components/relay/src/membership/members_tests.rs
@@ -2,10 +2,10 @@
 
 const ROLE: u64 = 7;
 
-fn card(id: u32, incarnation: u32, leaving: bool) -> FleetCard {
+fn card(id: u32, life: u32, leaving: bool) -> FleetCard {
     FleetCard {
         id: BoxId(id),
-        life: incarnation,
+        life,
         name: format!("box-{id}").into(),
         address: "127.0.0.1:1".parse().unwrap(),
         data_centre: "hall".into(),
--- a/components/relay/src/migration/migrator.rs
+++ b/components/relay/src/migration/migrator.rs
@@ -63,8 +63,8 @@
     ready_copy: Option<MigratedCopy>,
     /// Cause of the migration in progress.
     cause: Option<Cause>,
-    /// All attempts to move the generation off its evacuated engine failed: it finishes there unless the engine leaves.
-    move_failed: bool,
+    /// The migration off the evacuated engine ended without a move: the generation finishes there unless the engine leaves.
+    evacuation_failed: bool,
 }
 
 /// Why a generation is moved.
@@ -116,7 +116,7 @@
             source_open: true,
             ready_copy: None,
             cause: None,
-            move_failed: false,
+            evacuation_failed: false,
         }
     }
 
@@ -158,7 +158,7 @@
                     }
                     None if self.cause == Some(Cause::Evacuated) => {
                         // If the engine leaves later, the generation is migrated then.
-                        self.move_failed = true;
+                        self.evacuation_failed = true;
                         self.steps = None;
                         self.checked = false;
                     }
@@ -181,7 +181,7 @@
             return;
         };
         let cause = match target.belief {
-            Belief::Ready if !targets.is_evacuated(target) || self.move_failed => return,
+            Belief::Ready if !targets.is_evacuated(target) || self.evacuation_failed => return,
             Belief::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
             Belief::Ready => Cause::Evacuated,
             _ => Cause::Leaving,
@@ -220,8 +220,8 @@
     }
 }
 
-/// Outcome of one attempt to migrate a generation.
-enum Attempt {
+/// What follows one attempt to migrate a generation.
+enum Next {
     /// No further attempt: the generation moved, finished, or resumes at its source.
     Done,
     /// Retry for this reason, avoiding the engine if one is given.
@@ -264,8 +264,8 @@
                 }
             };
             match self.attempt(relay, target, steps).await {
-                Attempt::Done => return,
-                Attempt::Retry(why, other) => {
+                Next::Done => return,
+                Next::Retry(why, other) => {
                     self.log_not_moved(relay, why, attempt);
                     avoid.extend(other);
                     sleep(self.cause.retry_pause()).await;
@@ -280,35 +280,33 @@
         relay: &Rc<Relay>,
         target: TargetSlot,
         steps: &mpsc::UnboundedSender<MigrationStep>,
-    ) -> Attempt {
+    ) -> Next {
         let _transfer_slot = TransferSlot { relay, job: self };
         let Some(target_address) = relay.targets.borrow().get(target).map(|t| t.entry.address)
         else {
-            return Attempt::Retry("the engine is gone", None);
+            return Next::Retry("the engine is gone", None);
         };
         let started_ms = relay.now_ms();
         let target_id = relay.id_of(target);
         let first_copy = match self.copy(relay, target, false).await {
             CopyReply::Done { copy, .. } => copy,
-            CopyReply::NotRunning => {
-                return Attempt::Retry("it does not run yet, or no more", None);
-            }
-            CopyReply::UnderWay => return Attempt::Retry("another copy is under way", None),
+            CopyReply::NotRunning => return Next::Retry("it does not run yet, or no more", None),
+            CopyReply::UnderWay => return Next::Retry("another copy is under way", None),
             reply => {
                 slog::info!(relay.log, "migration copy failed"; "id" => &*self.id, "reply" => ?reply);
-                return Attempt::Retry("the copy failed", target_id);
+                return Next::Retry("the copy failed", target_id);
             }
         };
         let copied_ms = relay.now_ms();
         if relay.is_over(target) {
             // The copy is lost with the engine process that held it: stopping the generation now would end it.
             free_copy(relay, target_address, &first_copy);
-            return Attempt::Retry("the engine is gone", target_id);
+            return Next::Retry("the engine is gone", target_id);
         }
         if steps.send(MigrationStep::Stopping).is_err() {
             // The generation finished, or its caller disconnected, during the copy.
             free_copy(relay, target_address, &first_copy);
-            return Attempt::Done;
+            return Next::Done;
         }
         match self.copy(relay, target, true).await {
             CopyReply::Done { copy, events_made } => {
@@ -318,24 +316,24 @@
                 if !self.resume_at(target, copy, steps) {
                     free_copy(relay, target_address, &first_copy);
                 }
-                Attempt::Done
+                Next::Done
             }
             CopyReply::NoRoom { kept: Some(copy) } => {
                 slog::info!(relay.log, "generation resumes at its source"; "id" => &*self.id);
                 self.resume_at(self.source, copy, steps);
-                Attempt::Done
+                Next::Done
             }
             CopyReply::NotRunning => {
                 // The generation finished before the stop.
                 free_copy(relay, target_address, &first_copy);
-                Attempt::Done
+                Next::Done
             }
             reply => {
                 slog::info!(relay.log, "migration stop failed"; "id" => &*self.id, "reply" => ?reply);
                 free_copy(relay, target_address, &first_copy);
                 match steps.send(MigrationStep::Failed) {
-                    Ok(()) => Attempt::Retry("the stop failed", target_id),
-                    Err(_) => Attempt::Done,
+                    Ok(()) => Next::Retry("the stop failed", target_id),
+                    Err(_) => Next::Done,
                 }
             }
         }
