--- a/components/relay/src/dispatch/heartbeat.rs
+++ b/components/relay/src/dispatch/heartbeat.rs
@@ -29,12 +29,12 @@
         match answered {
             Ok(value) => {
                 let had_lost_peers = self.has_lost_all_peers(now_ms);
-                let update = self.members.borrow_mut().heard(id, now_ms);
+                let update = self.members.borrow_mut().record_contact(id, now_ms);
                 self.handle_peer_contact(update, had_lost_peers);
                 Some(value)
             }
             Err(error) => {
-                self.members.borrow_mut().suspected(id, now_ms);
+                self.members.borrow_mut().record_failure(id, now_ms);
                 self.peer_suspected.notify_waiters();
                 slog::info!(self.log, "peer did not answer"; "call" => call, "box" => id.0,
                     "error" => %error);
--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -3,8 +3,8 @@
 //! are submitted again, so that they keep their place in the queue.
 
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::membership::gossip::tell_current;
-use crate::membership::members::Upserted;
+use crate::membership::gossip::broadcast_digest;
+use crate::membership::members::MemberUpdate;
 use crate::state::Relay;
 use crate::watch::election::ISOLATION_TIMEOUT_MS;
 use prelude::{PermitId, PoolId};
@@ -70,19 +70,19 @@
 
     /// Returns true if this box had contact with peers but lost it for so long that other boxes dispatch its pools.
     pub(crate) fn has_lost_all_peers(&self, now_ms: u64) -> bool {
-        let last_contact_ms = self.members.borrow().heard_any_ms();
+        let last_contact_ms = self.members.borrow().last_contact_ms();
         last_contact_ms > 0 && last_contact_ms + ISOLATION_TIMEOUT_MS < now_ms
     }
 
     /// Returns true if this box has no contact with any peer, now or since its start.
     pub(crate) fn has_no_peer_contact(&self, now_ms: u64) -> bool {
-        let last_contact_ms = self.members.borrow().heard_any_ms();
+        let last_contact_ms = self.members.borrow().last_contact_ms();
         last_contact_ms == 0 || last_contact_ms + ISOLATION_TIMEOUT_MS < now_ms
     }
 
     /// Handles a message from a peer. If roles move because of it, waiting requests go to the new dispatcher of their pool,
     /// and it receives the open generations of this box.
-    pub(crate) fn handle_peer_contact(&self, upserted: Upserted, had_lost_peers: bool) {
+    pub(crate) fn handle_peer_contact(&self, upserted: MemberUpdate, had_lost_peers: bool) {
         if had_lost_peers {
             let now_ms = self.now_ms();
             for (pool, dispatcher) in self.dispatchers.borrow_mut().iter_mut() {
@@ -91,7 +91,7 @@
                     "grants_from_ms" => dispatcher.grants_from_ms, "now_ms" => now_ms);
             }
         }
-        if had_lost_peers || upserted != Upserted::Known {
+        if had_lost_peers || upserted != MemberUpdate::Unchanged {
             self.peer_suspected.notify_waiters();
             self.generations_changed.notify_one();
         }
@@ -100,6 +100,6 @@
     /// Announces this box to all others, as some may still use another dispatcher for the pool.
     pub(crate) fn announce_dispatcher(self: &Rc<Self>, pool: PoolId) {
         slog::info!(self.log, "dispatching resumed"; "pool" => %pool.model);
-        tell_current(self);
+        broadcast_digest(self);
     }
 }
--- a/components/relay/src/membership/members_tests.rs
+++ b/components/relay/src/membership/members_tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn three() -> Members {
+fn three_boxes() -> Members {
     let mut members = Members::new(BoxId(1), 1_000);
     members.upsert(card(2, 1, false), true, 0);
     members.upsert(card(3, 1, false), true, 0);
@@ -22,59 +22,65 @@
 }
 
 #[test]
-fn a_box_that_does_not_answer_holds_no_role_for_longer_each_time() {
-    let mut members = three();
+fn suspicion_of_an_unresponsive_box_lasts_longer_after_each_failure() {
+    let mut members = three_boxes();
     let first = members.ranked(ROLE, true, 0)[0];
-    members.suspected(first, 0);
+    members.record_failure(first, 0);
     assert_ne!(members.ranked(ROLE, true, 500)[0], first);
     assert_eq!(members.ranked(ROLE, true, 1_500)[0], first);
-    members.suspected(first, 1_500);
+    members.record_failure(first, 1_500);
     assert_ne!(members.ranked(ROLE, true, 3_000)[0], first);
-    members.heard(first, 3_000);
+    members.record_contact(first, 3_000);
     assert_eq!(members.ranked(ROLE, true, 3_001)[0], first);
 }
 
 #[test]
-fn a_box_that_stops_holds_no_role() {
-    let mut members = three();
+fn a_stopping_box_holds_no_role() {
+    let mut members = three_boxes();
     members.upsert(card(2, 1, true), false, 10);
     assert_eq!(*members.ranked(ROLE, true, 20), [BoxId(3)]);
 }
 
 #[test]
-fn a_key_that_a_former_life_wrote_takes_nothing_back() {
-    let mut members = three();
+fn key_of_a_previous_incarnation_does_not_override_gossip() {
+    let mut members = three_boxes();
     members.upsert(card(2, 5, true), false, 10);
     assert_eq!(
-        members.upsert(card(2, LIFE_UNKNOWN, false), true, 20),
-        Upserted::Known
+        members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 20),
+        MemberUpdate::Unchanged
     );
     let known = members.card(BoxId(2)).unwrap();
     assert_eq!((known.life, known.leaving), (5, true));
-    assert_eq!(members.upsert(card(2, 6, false), false, 30), Upserted::New);
+    assert_eq!(
+        members.upsert(card(2, 6, false), false, 30),
+        MemberUpdate::New
+    );
     assert!(!members.card(BoxId(2)).unwrap().leaving);
 }
 
 #[test]
-fn a_box_known_by_its_key_is_the_same_when_it_speaks() {
+fn first_gossip_of_a_box_known_by_its_key_does_not_make_it_new() {
     let mut members = Members::new(BoxId(1), 1_000);
     assert_eq!(
-        members.upsert(card(2, LIFE_UNKNOWN, false), true, 0),
-        Upserted::New
+        members.upsert(card(2, INCARNATION_UNKNOWN, false), true, 0),
+        MemberUpdate::New
+    );
+    assert_eq!(
+        members.upsert(card(2, 9, false), false, 5),
+        MemberUpdate::Unchanged
     );
-    assert_eq!(members.upsert(card(2, 9, false), false, 5), Upserted::Known);
     assert_eq!(members.card(BoxId(2)).unwrap().life, 9);
 }
 
 #[test]
-fn the_budget_is_shared_among_the_boxes_that_another_knows() {
-    let mut members = three();
-    members.told_count(40, 10);
-    assert_eq!(members.budget_share(), 41);
+fn peak_box_count_includes_boxes_known_to_a_peer() {
+    let mut members = three_boxes();
+    members.record_reported_count(40, 10);
+    assert_eq!(members.peak_box_count(), 41);
 }
 
 #[test]
-fn those_that_pass_on_answer_and_have_wide_links() {
+fn broadcast_order_prefers_wide_links_and_puts_suspected_boxes_last() {
     let mut members = Members::new(BoxId(1), 1_000);
     for (id, link_mbps) in [(2, 20), (3, 200), (4, 100), (5, 400)] {
         let card = FleetCard {
@@ -83,57 +89,57 @@
         };
         members.upsert(card, true, 0);
     }
-    members.suspected(BoxId(5), 0);
-    let order: Vec<u32> = members.in_telling_order(10).iter().map(|b| b.0.0).collect();
+    members.record_failure(BoxId(5), 0);
+    let order: Vec<u32> = members.broadcast_order(10).iter().map(|b| b.0.0).collect();
     assert_eq!(order, [3, 4, 2, 5]);
 }
 
 #[test]
-fn a_box_with_a_key_is_kept_and_one_without_a_word_is_forgotten() {
-    let mut members = three();
-    members.keys_are(&[BoxId(2)]);
-    assert_eq!(members.forget_silent(60_000), [BoxId(3)]);
+fn silent_box_is_removed_unless_it_has_a_key() {
+    let mut members = three_boxes();
+    members.set_keyed(&[BoxId(2)]);
+    assert_eq!(members.expire_silent(60_000), [BoxId(3)]);
     assert_eq!(members.others(), [BoxId(2)]);
 }
 
 #[test]
-fn the_budget_is_shared_among_the_most_boxes_seen_lately() {
-    let mut members = three();
-    members.keys_are(&[]);
-    members.forget_silent(12_000);
-    assert_eq!(members.budget_share(), 3);
-    members.forget_silent(20_000);
-    assert_eq!(members.budget_share(), 1);
+fn peak_box_count_falls_only_after_a_delay() {
+    let mut members = three_boxes();
+    members.set_keyed(&[]);
+    members.expire_silent(12_000);
+    assert_eq!(members.peak_box_count(), 3);
+    members.expire_silent(20_000);
+    assert_eq!(members.peak_box_count(), 1);
 }
 
 #[test]
-fn a_caller_sent_away_may_meet_a_box_that_has_just_begun_to_stop() {
-    let mut members = three();
-    assert_eq!(members.elsewhere_chance(0), 1.0);
+fn reconnect_chance_counts_boxes_that_have_just_begun_to_stop() {
+    let mut members = three_boxes();
+    assert_eq!(members.reconnect_chance(0), 1.0);
     members.upsert(card(2, 1, true), false, 1_000);
-    assert_eq!(members.elsewhere_chance(1_500), 0.5);
+    assert_eq!(members.reconnect_chance(1_500), 0.5);
     assert_eq!(members.first_stop_ms(), Some(1_000));
-    // Fewer than half do not stop, so that the platform goes on asking all.
-    assert_eq!(members.elsewhere_chance(4_000), 0.5);
+    // Fewer than half of the boxes are not stopping, so the platform still routes to all of them.
+    assert_eq!(members.reconnect_chance(4_000), 0.5);
     members.upsert(card(3, 1, true), false, 4_000);
-    assert_eq!(members.elsewhere_chance(4_000), 0.0);
+    assert_eq!(members.reconnect_chance(4_000), 0.0);
     members.upsert(card(3, 2, false), false, 5_000);
-    assert_eq!(members.elsewhere_chance(5_000), 0.5);
+    assert_eq!(members.reconnect_chance(5_000), 0.5);
 }
 
 #[test]
-fn a_box_that_has_long_been_stopping_is_met_no_more_where_most_do_not_stop() {
-    let mut members = three();
+fn reconnect_chance_leaves_out_a_box_that_has_been_stopping_for_long() {
+    let mut members = three_boxes();
     for id in [4, 5, 6] {
         members.upsert(card(id, 1, false), true, 0);
     }
     members.upsert(card(2, 1, true), false, 1_000);
-    assert_eq!(members.elsewhere_chance(1_500), 0.8);
-    assert_eq!(members.elsewhere_chance(3_500), 1.0);
+    assert_eq!(members.reconnect_chance(1_500), 0.8);
+    assert_eq!(members.reconnect_chance(3_500), 1.0);
 }
 
 #[test]
-fn roles_go_to_boxes_with_wide_links_first() {
+fn boxes_with_wide_links_rank_first() {
     let mut members = Members::new(BoxId(1), 10);
     for id in 2..20 {
         let wide = id % 6 == 0;
@@ -150,8 +156,8 @@
     assert_eq!(order.len(), 19);
 }
 
-/// So many boxes, one in twenty with a wide link.
-fn crowd(boxes: u32) -> Members {
+/// A fleet of `boxes` boxes, one in twenty with a wide link.
+fn fleet(boxes: u32) -> Members {
     let mut members = Members::new(BoxId(0), 20);
     for id in 1..boxes {
         let link_mbps = if id % 20 == 0 { 200 } else { 20 };
@@ -167,61 +173,61 @@
 #[rstest::rstest]
 #[case::boxes_100(100)]
 #[case::boxes_1_000(1_000)]
-fn who_holds_a_role_is_worked_out_once_while_nothing_changes(#[case] boxes: u32) {
-    let members = crowd(boxes);
+fn ranking_is_computed_once_while_the_box_list_is_unchanged(#[case] boxes: u32) {
+    let members = fleet(boxes);
     for at_ms in 0..100 {
         for role in [ROLE, ROLE + 1] {
             assert_eq!(members.ranked(role, false, at_ms).len(), boxes as usize);
         }
     }
-    let looks = members.ranked_looks();
-    assert!(looks <= 2 * u64::from(boxes), "{looks}");
+    let checks = members.ranking_checks();
+    assert!(checks <= 2 * u64::from(boxes), "{checks}");
 }
 
-/// Compares the order with that of a list of boxes of which nothing was asked before.
-fn assert_as_if_new(members: &Members, now_ms: u64) {
+/// Asserts that the cached order equals a freshly computed one.
+fn assert_cache_is_valid(members: &Members, now_ms: u64) {
     let fresh = Members {
-        ranked_looks: Cell::default(),
-        ..members.anew()
+        ranking_checks: Cell::default(),
+        ..members.without_cache()
     };
     for leaving in [false, true] {
-        let (order, new) = (
+        let (cached, computed) = (
             members.ranked(ROLE, leaving, now_ms),
             fresh.ranked(ROLE, leaving, now_ms),
         );
-        assert_eq!(order, new, "at {now_ms} ms");
+        assert_eq!(cached, computed, "at {now_ms} ms");
     }
 }
 
 #[test]
-fn who_holds_a_role_follows_what_is_known_of_boxes() {
-    let mut members = crowd(40);
+fn cached_ranking_follows_changes_of_the_box_list() {
+    let mut members = fleet(40);
     let unkeyed = FleetCard {
         link_mbps: 200,
         ..card(50, 1, false)
     };
     members.upsert(unkeyed, false, 0);
-    assert_as_if_new(&members, 0);
+    assert_cache_is_valid(&members, 0);
     for at_ms in (0..40_000).step_by(250) {
         match at_ms {
-            1_000 => members.suspected(BoxId(20), at_ms),
-            1_500 => members.suspected(BoxId(7), at_ms),
-            3_000 => members.suspected(BoxId(20), at_ms),
-            4_000 => drop(members.heard(BoxId(20), at_ms)),
+            1_000 => members.record_failure(BoxId(20), at_ms),
+            1_500 => members.record_failure(BoxId(7), at_ms),
+            3_000 => members.record_failure(BoxId(20), at_ms),
+            4_000 => drop(members.record_contact(BoxId(20), at_ms)),
             6_000 => drop(members.upsert(card(7, 1, true), false, at_ms)),
             8_000 => members.set_link(200),
-            9_000 => members.keys_are(&[BoxId(1), BoxId(2), BoxId(20)]),
-            30_000 => drop(members.forget_silent(at_ms)),
+            9_000 => members.set_keyed(&[BoxId(1), BoxId(2), BoxId(20)]),
+            30_000 => drop(members.expire_silent(at_ms)),
             31_000 => drop(members.upsert(card(60, 1, false), true, at_ms)),
             _ => {}
         }
-        assert_as_if_new(&members, at_ms);
+        assert_cache_is_valid(&members, at_ms);
     }
 }
 
-/// How often boxes read the keys of all in an hour of quiet, in bytes a second of one box where a key takes 330.
-fn list_bytes_a_second(boxes: u32) -> f64 {
-    let members = crowd(boxes);
+/// Bytes per second that one box reads of all box keys, over an hour without changes, with 330 bytes per key.
+fn list_bytes_per_second(boxes: u32) -> f64 {
+    let members = fleet(boxes);
     let (mut reads, mut read_ms) = (0, 0);
     for now_ms in (0..3_600_000).step_by(10_000) {
         if members.is_list_due(now_ms - read_ms) {
@@ -236,21 +242,21 @@
 #[case::boxes_8(8)]
 #[case::boxes_100(100)]
 #[case::boxes_1_000(1_000)]
-fn reading_the_keys_of_all_boxes_takes_a_box_about_a_kilobyte_a_second(#[case] boxes: u32) {
-    let bytes = list_bytes_a_second(boxes);
-    assert!(bytes < 1_200.0, "{bytes} bytes a second");
+fn reading_all_box_keys_takes_a_box_about_a_kilobyte_per_second(#[case] boxes: u32) {
+    let bytes = list_bytes_per_second(boxes);
+    assert!(bytes < 1_200.0, "{bytes} bytes per second");
 }
 
 #[test]
-fn a_box_that_hears_of_more_boxes_than_it_knows_reads_their_keys_soon() {
-    let mut members = crowd(1_000);
-    assert!(!members.is_list_due(LIST_EACH_MS - 1));
-    members.told_count(1_000, 5_000);
-    assert!(members.is_list_due(LIST_EACH_MS));
+fn a_report_of_unknown_boxes_shortens_the_read_interval() {
+    let mut members = fleet(1_000);
+    assert!(!members.is_list_due(LIST_INTERVAL_MS - 1));
+    members.record_reported_count(1_000, 5_000);
+    assert!(members.is_list_due(LIST_INTERVAL_MS));
 }
 
-/// The boxes 1 to 6, every other one in the barn; this one is 1 and stands in the hall.
-fn two_places() -> Members {
+/// Boxes 1 to 6, the even ones in data centre "barn", the odd ones in "hall". This box is 1.
+fn two_data_centres() -> Members {
     let mut members = Members::new(BoxId(1), 1_000);
     for id in 2..=6 {
         let data_centre = if id % 2 == 0 { "barn" } else { "hall" };
@@ -264,30 +270,30 @@
 }
 
 #[test]
-fn a_role_near_a_data_centre_is_held_there_as_long_as_a_box_there_can() {
+fn role_near_a_data_centre_is_held_there_while_a_box_there_is_eligible() {
     let (hall, barn) = (
         DataCentreId::from_name("hall"),
         DataCentreId::from_name("barn"),
     );
-    let mut members = two_places();
+    let mut members = two_data_centres();
     for role in 0..20 {
-        let holder = members.winner_near(role, barn, Some(hall), 0).unwrap();
+        let holder = members.role_holder_near(role, barn, Some(hall), 0).unwrap();
         assert_eq!(holder.0 % 2, 0);
-        let holder = members.winner_near(role, hall, Some(hall), 0).unwrap();
+        let holder = members.role_holder_near(role, hall, Some(hall), 0).unwrap();
         assert_eq!(holder.0 % 2, 1);
     }
     for id in [2, 4, 6] {
-        members.suspected(BoxId(id), 0);
+        members.record_failure(BoxId(id), 0);
     }
-    let holder = members.winner_near(ROLE, barn, Some(hall), 0).unwrap();
-    assert_eq!(holder.0 % 2, 1, "none in the barn answers");
-    assert_eq!(members.able_count(0), 3);
+    let holder = members.role_holder_near(ROLE, barn, Some(hall), 0).unwrap();
+    assert_eq!(holder.0 % 2, 1, "no box in the barn answers");
+    assert_eq!(members.eligible_count(0), 3);
 }
 
 #[test]
-fn all_boxes_name_the_same_holder_of_a_role_near_a_data_centre() {
+fn all_boxes_agree_on_the_holder_of_a_role_near_a_data_centre() {
     let hall = DataCentreId::from_name("hall");
-    let mine = two_places();
+    let mine = two_data_centres();
     let mut others = Members::new(BoxId(3), 1_000);
     for id in [1, 2, 4, 5, 6] {
         let data_centre = if id % 2 == 0 { "barn" } else { "hall" };
@@ -298,7 +304,7 @@
         others.upsert(card, true, 0);
     }
     for role in 0..50 {
-        let by_me = mine.winner_near(role, hall, Some(hall), 0);
-        assert_eq!(by_me, others.winner_near(role, hall, Some(hall), 0));
+        let by_me = mine.role_holder_near(role, hall, Some(hall), 0);
+        assert_eq!(by_me, others.role_holder_near(role, hall, Some(hall), 0));
     }
 }
--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -1,6 +1,6 @@
 //! How a limit reaches all boxes: whoever has it from the target sends it to the target's coordinator, which sends it to all.
 
-use crate::membership::broadcast::tell_all;
+use crate::membership::broadcast::broadcast_gossip;
 use crate::membership::gossip::gossip_message;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -57,7 +57,7 @@
     async fn send_pending_rates(self: &Rc<Self>) {
         sleep(COLLECTED_FOR).await;
         while !self.rate_limits.pending.borrow().is_empty() {
-            let boxes = self.members.borrow().budget_share();
+            let boxes = self.members.borrow().peak_box_count();
             let now_ms = self.now_ms();
             let may_send = self.rate_limits.budget.borrow_mut().try_take(boxes, now_ms);
             if !may_send {
@@ -66,7 +66,7 @@
             }
             let mut message = gossip_message(self);
             message.rates = self.take_pending_rates();
-            tell_all(self, &message);
+            broadcast_gossip(self, &message);
         }
         self.rate_limits.sending.set(false);
     }
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -5,10 +5,10 @@
 use crate::ingress::accept;
 use crate::ingress::overrun::run_overrun;
 use crate::ingress::readiness;
-use crate::membership::exchange::{greet, run_exchanges};
+use crate::membership::exchange::{announce_self, run_exchanges};
 use crate::membership::gossip::Handler;
-use crate::membership::members::{LIFE_UNKNOWN, Members};
-use crate::membership::registration::{box_id, keep_registration, read_boxes};
+use crate::membership::members::{INCARNATION_UNKNOWN, Members};
+use crate::membership::registration::{box_id, discover_boxes, keep_registration};
 use crate::quarantine::record::read_records;
 use crate::rate_limit::state::RateLimits;
 use crate::reconfigure::run_settings;
@@ -106,7 +106,7 @@
         log: log.new(slog::o!("box" => identity.name.clone())),
         clock: Clock::new(),
         id,
-        incarnation: rand::random_range(LIFE_UNKNOWN + 1..=u32::MAX),
+        incarnation: rand::random_range(INCARNATION_UNKNOWN + 1..=u32::MAX),
         data_centre: DataCentreId::from_name(&identity.data_centre),
         store: FleetStore::new(file.store.address),
         peers: FleetClients::new(keys.clone(), traffic.clone()),
@@ -169,7 +169,7 @@
     spawn_local(run_poll_announcements(relay.clone()));
     spawn_local(run_missing_expiry(relay.clone()));
     spawn_local(run_snapshots(relay.clone()));
-    spawn_local(read_boxes(relay.clone()));
+    spawn_local(discover_boxes(relay.clone()));
     spawn_local(keep_registration(relay.clone()));
     spawn_local(read_records(relay.clone()));
     spawn_local(run_exchanges(relay.clone()));
@@ -234,7 +234,7 @@
         relay.stopping.cancel();
         // Notifies the other boxes at once, so that roles of this box move to them.
         let notifier = relay.clone();
-        spawn_local(async move { greet(&notifier).await });
+        spawn_local(async move { announce_self(&notifier).await });
         sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         while relay.in_progress.get() > 0 {
             let ended = relay.requests_ended.notified();
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -7,11 +7,11 @@
 use crate::forwarding::channels::Channels;
 use crate::held::{Bounds, Holdings};
 use crate::ingress::request::LocalReply;
-use crate::membership::lacking::Lacking;
+use crate::membership::compression::compress;
 use crate::membership::list_budget::ListBudget;
+use crate::membership::load_shedding::LoadShedding;
 use crate::membership::members::Members;
-use crate::membership::snapshot::pack;
-use crate::membership::stand_back::StandBacks;
+use crate::membership::missing::MissingChanges;
 use crate::quarantine::broken::BrokenRuns;
 use crate::rate_limit::state::RateLimits;
 use crate::watch::election::{FollowedViews, View};
@@ -118,7 +118,7 @@
     /// Set once the keys of all boxes were read after the start.
     pub(crate) boxes_read: watch::Sender<bool>,
     /// Target changes that other boxes have and this one is missing.
-    pub(crate) missing_changes: Cell<Lacking>,
+    pub(crate) missing_changes: Cell<MissingChanges>,
     /// Budget for sending whole lists of targets to peers.
     pub(crate) list_budget: Cell<ListBudget>,
     /// Set while newer state is being fetched from another box.
@@ -129,7 +129,7 @@
     pub(crate) in_progress: Cell<usize>,
     pub(crate) requests_ended: Notify,
     /// Which boxes this one allows to shed load.
-    pub(crate) load_shedding: RefCell<StandBacks>,
+    pub(crate) load_shedding: RefCell<LoadShedding>,
     /// Until when this box sheds load.
     pub(crate) sheds_load_until_ms: Cell<u64>,
     /// Cancelled when a planned stop begins.
@@ -289,7 +289,7 @@
         metrics::gauge!("shuntpier_table_version").set(table.version as f64);
         *self.declared.borrow_mut() = Some(Rc::new(Declared {
             table,
-            packed: pack(text),
+            packed: compress(text),
         }));
         self.targets_changed();
         true
@@ -339,7 +339,7 @@
     /// Takes one retry to a service from the budget. Returns false if the budget is spent.
     pub(crate) fn try_take_retry(&self, service: &str) -> bool {
         let budget_share = match self.settings().has(Mechanism::BudgetShares) {
-            true => self.members.borrow().budget_share(),
+            true => self.members.borrow().peak_box_count(),
             false => 1,
         };
         let taken = self.with_retry_window(service, |window, now_ms| {
--- a/components/relay/src/watch/election.rs
+++ b/components/relay/src/watch/election.rs
@@ -117,11 +117,11 @@
     if is_elected(relay) {
         return 0;
     }
-    let last_seen_ms = relay.members.borrow().heard_any_ms();
+    let last_seen_ms = relay.members.borrow().last_contact_ms();
     if last_seen_ms + ISOLATION_TIMEOUT_MS < relay.now_ms() {
         return CONFIRM_TIMEOUT_MS;
     }
-    let expected = relay.members.borrow().budget_share();
+    let expected = relay.members.borrow().peak_box_count();
     let known = ranked_boxes(relay).len();
     let rank_in_fleet =
         rank(relay).map_or(u64::MAX, |rank| fleet_rank(rank as u64, known, expected));
@@ -179,7 +179,7 @@
 
 /// Whether other boxes watch the store again, so that a box that is not elected can stop watching.
 pub(crate) fn can_step_down(relay: &Relay, started_ms: u64) -> bool {
-    let last_seen_ms = relay.members.borrow().heard_follower_ms();
+    let last_seen_ms = relay.members.borrow().store_follower_seen_ms();
     !is_elected(relay) && last_seen_ms > started_ms + CONFIRM_TIMEOUT_MS
 }
 
--- a/components/relay/src/watch/target_snapshot.rs
+++ b/components/relay/src/watch/target_snapshot.rs
@@ -2,7 +2,7 @@
 //! list. If all boxes start at once, no peer has the list, and the amount that all of them read bounds the time until
 //! they serve. The first box that watches targets writes it. A reader gets newer changes from the watching boxes.
 
-use crate::membership::snapshot::{pack, unpack};
+use crate::membership::compression::{compress, decompress};
 use crate::state::Relay;
 use crate::watch::election::{View, rank};
 use peers::TargetList;
@@ -64,7 +64,7 @@
 }
 
 fn part(relay: &Relay, item: &Versioned) -> Option<Part> {
-    let unpacked = unpack(&item.value).ok();
+    let unpacked = decompress(&item.value).ok();
     let part = unpacked.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     if part.is_none() {
         slog::warn!(relay.log, "part of a target snapshot not used"; "key" => &item.key,
@@ -150,7 +150,7 @@
             postcard::to_stdvec(&part).map_err(|error| StoreError::NotDone(error.to_string()))?;
         Ok(Write::Put {
             key: format!("{PREFIX}{at:03}"),
-            value: pack(&bytes),
+            value: compress(&bytes),
             lease: lease.id,
         })
     });
--- a/components/relay/src/watch/watcher.rs
+++ b/components/relay/src/watch/watcher.rs
@@ -1,7 +1,9 @@
 //! Watches the declarations and targets in the platform's store while this box is elected, and broadcasts changes to
 //! the other boxes.
 
-use crate::membership::gossip::{spread_table, spread_targets, tell_current};
+use crate::membership::gossip::{
+    broadcast_declarations, broadcast_digest, broadcast_target_changes,
+};
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
 use crate::watch::election::{
@@ -48,7 +50,7 @@
 /// Watches a view for the lifetime of the box, whenever this box must.
 pub(crate) async fn follow(relay: Rc<Relay>, view: View) {
     let mut backoff = Backoff::new();
-    relay.seeds_asked().await;
+    relay.wait_for_seeds().await;
     read_initial(&relay, view).await;
     loop {
         if !must_watch(&relay, view) {
@@ -79,7 +81,7 @@
         let listed = tokio::select! {
             listed = read_stale(relay, view) => listed,
             // A peer has sent the view, so the rest of the answer is not needed.
-            () = relay.until_known(view) => return,
+            () = relay.wait_until_known(view) => return,
         };
         match listed {
             Ok(Some((items, version))) => {
@@ -187,7 +189,7 @@
 
 /// The pause before the watch is polled again.
 fn poll_pause(relay: &Relay, view: View) -> Duration {
-    let last_seen_ms = relay.members.borrow().heard_follower_ms();
+    let last_seen_ms = relay.members.borrow().store_follower_seen_ms();
     let is_second = rank(relay) != Some(0) && last_seen_ms + STANDBY_TIMEOUT_MS > relay.now_ms();
     match view {
         View::Declarations => DECLARATIONS_POLL_PAUSE,
@@ -201,7 +203,7 @@
     loop {
         sleep(CONFIRM_INTERVAL).await;
         if relay.polls_all_engines.get() && !relay.following.get().any() {
-            tell_current(&relay);
+            broadcast_digest(&relay);
         }
     }
 }
@@ -215,10 +217,10 @@
     relay.confirm(view);
     match change {
         ViewChange::Nothing => {}
-        ViewChange::Table => spread_table(relay),
-        ViewChange::Targets(Some(update)) => spread_targets(relay, update),
+        ViewChange::Table => broadcast_declarations(relay),
+        ViewChange::Targets(Some(update)) => broadcast_target_changes(relay, update),
         // The announcement contains the version; boxes with missing changes request them.
-        ViewChange::Targets(None) => tell_current(relay),
+        ViewChange::Targets(None) => broadcast_digest(relay),
     }
     Ok(version)
 }
@@ -292,7 +294,7 @@
         false => known.read(named, version),
     });
     if changed {
-        tell_current(relay);
+        broadcast_digest(relay);
     }
 }
 
@@ -302,14 +304,14 @@
             let (is_evacuated, version) = (event.value.is_some(), event.version());
             if relay.update_evacuations("store", |known| known.ordered(name, is_evacuated, version))
             {
-                tell_current(relay);
+                broadcast_digest(relay);
             }
             continue;
         }
         if let (CONFIG_KEY, Some(text)) = (event.key.as_str(), event.value)
             && relay.apply_declarations(&text, "store")
         {
-            spread_table(relay);
+            broadcast_declarations(relay);
         }
     }
 }
@@ -385,6 +387,6 @@
             unlisted,
             root: None,
         };
-        spread_targets(relay, update);
+        broadcast_target_changes(relay, update);
     }
 }
