--- a/components/relay/src/membership/load_shedding.rs
+++ b/components/relay/src/membership/load_shedding.rs
@@ -60,7 +60,7 @@
             .ranked(COORDINATOR_ROLE, self.is_stopping(), now_ms)
             .len();
         let granted = self
-            .stand_backs
+            .load_shedding
             .borrow_mut()
             .try_acquire(from, ready, now_ms);
         slog::info!(self.log, "load shedding requested"; "box" => from.0, "allowed" => granted,
@@ -79,7 +79,7 @@
             return false;
         };
         let has_granted = self
-            .stand_backs
+            .load_shedding
             .borrow()
             .is_granted_to_others(self.id, now_ms);
         // A box that has granted permissions counts its own with them, whichever box coordinates now.
@@ -92,7 +92,7 @@
             .call(coordinator, CALL_TIMEOUT, |client, context| async move {
                 client.stand_back(context, from).await
             });
-        self.heard_from(coordinator, call.await, "stand back")
+        self.record_peer_result(coordinator, call.await, "stand back")
             .unwrap_or(false)
     }
 }
--- a/components/relay/src/migration/migrated_copy.rs
+++ b/components/relay/src/migration/migrated_copy.rs
@@ -2,7 +2,7 @@
 
 use crate::forwarding::control::control;
 use crate::state::Relay;
-use crate::watch::targets::{Belief, TargetSlot};
+use crate::watch::targets::{TargetSlot, TargetState};
 use platform::drop_copy_request;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
             .targets
             .borrow()
             .get(self.source_slot)
-            .is_some_and(|t| t.belief == Belief::Ready);
+            .is_some_and(|t| t.state == TargetState::Ready);
         if source_stays {
             free_copy(relay, self.source, &self.copy);
         }
--- a/components/relay/src/migration/migrator.rs
+++ b/components/relay/src/migration/migrator.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::control::control;
 use crate::migration::migrated_copy::{MigratedCopy, free_copy};
 use crate::state::Relay;
-use crate::watch::targets::{Belief, TargetSlot};
+use crate::watch::targets::{TargetSlot, TargetState};
 use peers::RelocateReply;
 use platform::{CopyReply, copy_request, parse_copy_reply};
 use prelude::{PoolId, TargetId};
@@ -110,7 +110,7 @@
             changes: relay.target_changes.subscribe(),
             checked: false,
             can_migrate: engine.is_some_and(|engine| engine.moves)
-                && relay.file().has(Mechanism::Moves),
+                && relay.settings().has(Mechanism::Moves),
             steps: None,
             stopping: false,
             source_open: true,
@@ -180,10 +180,10 @@
         let Some(target) = targets.get(permit.slot) else {
             return;
         };
-        let cause = match target.belief {
-            Belief::Ready if !targets.is_evacuated(target) || self.evacuation_failed => return,
-            Belief::Ready if !self.relay.file().has(Mechanism::EvacuationMoves) => return,
-            Belief::Ready => Cause::Evacuated,
+        let cause = match target.state {
+            TargetState::Ready if !targets.is_evacuated(target) || self.evacuation_failed => return,
+            TargetState::Ready if !self.relay.settings().has(Mechanism::EvacuationMoves) => return,
+            TargetState::Ready => Cause::Evacuated,
             _ => Cause::Leaving,
         };
         if !self.can_migrate {
@@ -216,7 +216,7 @@
     fn drop(&mut self) {
         let job = self.job;
         self.relay
-            .tell_relocated(job.pool, job.serial, job.source_id);
+            .notify_relocated(job.pool, job.serial, job.source_id);
     }
 }
 
@@ -252,7 +252,7 @@
                 Ok(target) => {
                     // The dispatcher does not know yet that the chosen engine is leaving too.
                     avoid.extend(relay.id_of(target));
-                    relay.tell_relocated(self.pool, self.serial, self.source_id);
+                    relay.notify_relocated(self.pool, self.serial, self.source_id);
                     continue;
                 }
                 Err(RelocateReply::Wait) => continue,
