--- a/components/policy/src/demand.rs
+++ b/components/policy/src/demand.rs
@@ -76,7 +76,7 @@
 /// A running stream that a box reports to a new dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningStream {
-    /// The request that it was granted for.
+    /// The request that it serves.
     pub demand: Demand,
     /// The engine it runs on.
     pub target: TargetId,
--- a/components/policy/src/engine_updates.rs
+++ b/components/policy/src/engine_updates.rs
@@ -7,7 +7,7 @@
 use prelude::{AccountId, TargetId};
 use std::collections::{HashMap, HashSet};
 
-/// Preemptions counted per report.
+/// Maximum preemptions per report that raise the margin.
 const PREEMPTIONS_PER_REPORT_MAX: u64 = 2;
 
 impl Pool {
--- a/components/policy/src/placement/choose.rs
+++ b/components/policy/src/placement/choose.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Reserves engines for the requests of a queue that have waited past `pass_limit_ms`: those
+    /// Reserves engines for the requests of a queue that have waited past `reserve_after_ms`: those
     /// closest to having room, up to the `reserve_share` of all engines.
     pub(crate) fn reserve_engines(
         &self,
@@ -128,7 +128,7 @@
         let reserved_max =
             (self.engines.len() as f64 * self.settings.reserve_share).ceil() as usize;
         let available = reserved_max.saturating_sub(reserved.len());
-        let late_since_ms = now_ms.saturating_sub(self.settings.pass_limit_ms);
+        let late_since_ms = now_ms.saturating_sub(self.settings.reserve_after_ms);
         let late_count = self.queue.count_since(queue_key, late_since_ms, available);
         reserved.extend(nearest.iter().take(late_count));
     }
--- a/components/policy/src/pool_size_tests.rs
+++ b/components/policy/src/pool_size_tests.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Engines checked per request, in a pool of this size with about 300 streams.
+/// Average number of engines checked per request, with `engines` engines and about 300 streams.
 fn checks_per_request(engines: u64) -> u64 {
     let mut pool = pool(engines);
     (0..600).for_each(|serial| step(&mut pool, serial));
--- a/components/policy/src/pool_tests.rs
+++ b/components/policy/src/pool_tests.rs
@@ -105,7 +105,7 @@
     pool.submit(patient(2, 600), 0);
     assert_eq!(granted(&pool.schedule(0)).len(), 2);
     pool.submit(patient(3, 1700), 0);
-    let late_ms = PoolSettings::default().pass_limit_ms + 1;
+    let late_ms = PoolSettings::default().reserve_after_ms + 1;
     pool.submit(patient(4, 100), late_ms);
     pool.submit(patient(5, 100), late_ms);
     let small = granted(&pool.schedule(late_ms));
--- a/components/policy/src/settings.rs
+++ b/components/policy/src/settings.rs
@@ -116,7 +116,8 @@
     pub affinity_tokens: u32,
     /// After this wait, the engine closest to having room is reserved for a request that fits
     /// nowhere.
-    pub pass_limit_ms: u64,
+    #[serde(rename = "pass_limit_ms")]
+    pub reserve_after_ms: u64,
     /// Maximum share of the engines that may be reserved at a time, between 0 and 1.
     pub reserve_share: f64,
     /// Placement bonus of engines in the data centre of the caller's box, in tokens of memory.
@@ -164,7 +165,7 @@
             running_limit: 0,
             report_lag_ms: 250,
             affinity_tokens: 256,
-            pass_limit_ms: 500,
+            reserve_after_ms: 500,
             reserve_share: 0.45,
             near_tokens: 0,
             near_copy_tokens: 12_000,
