--- a/components/relay/src/membership/broadcast.rs
+++ b/components/relay/src/membership/broadcast.rs
@@ -13,7 +13,7 @@
 
 /// Up to this many boxes, each is sent to directly.
 const DIRECT_SENDS_MAX: usize = 24;
-/// Smallest size of a group. Groups are larger if a data centre would have more groups than this.
+/// Smallest size of a group. In a large data centre, groups have the square root of the number of its boxes.
 const GROUP_SIZE_MIN: usize = 12;
 /// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
--- a/components/relay/src/membership/exchange.rs
+++ b/components/relay/src/membership/exchange.rs
@@ -51,7 +51,7 @@
 fn remove_silent(relay: &Relay) {
     let gone = relay.members.borrow_mut().expire_silent(relay.now_ms());
     for id in gone {
-        slog::info!(relay.log, "box forgotten"; "box" => id.0);
+        slog::info!(relay.log, "silent box removed"; "box" => id.0);
         relay.peers.forget(id);
     }
     relay.peers.drop_idle();
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -21,8 +21,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Boxes listed in one fetch response, half of them those with the widest links. The others are learnt from the store and from their own announcements; when the whole
-/// fleet starts, a box receives about twenty such responses.
+/// Boxes listed in one fetch response, half of them those with the widest links. The others are learnt from the store and from
+/// their own announcements; when the whole fleet starts, a box receives about twenty such responses.
 const MAX_LISTED_BOXES: usize = 48;
 /// A box that knows less than this share of the boxes that a peer knows fetches more from it.
 const MIN_KNOWN_BOXES_SHARE: f64 = 0.9;
@@ -216,7 +216,7 @@
     });
 }
 
-/// Adopts a peer's confirmation that a view is current, if this box has the same version of it.
+/// Adopts a peer's confirmation that a view is current, if this box has at least the peer's version of it.
 fn apply_confirmations(relay: &Relay, digest: &FleetDigest) {
     let now_ms = relay.now_ms();
     let table_version = relay
--- a/components/relay/src/membership/members.rs
+++ b/components/relay/src/membership/members.rs
@@ -10,12 +10,12 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// Duration of the suspicion of a box that did not answer, in ms; doubled with each further failure.
+/// How long a box that did not answer is suspected and holds no role, in ms; doubled with each further failure.
 const SUSPICION_MS: u64 = 1_000;
 const SUSPICION_MAX_MS: u64 = 16_000;
-/// A box without a key that was not in contact for this long is removed from the list.
+/// A box without a key that was not in contact for this long is removed from the list, in ms.
 pub(super) const SILENCE_TIMEOUT_MS: u64 = 10_000;
-/// Incarnation in the card of a box's key, since a previous incarnation may have written the key.
+/// Placeholder for the incarnation in the card of a box's key, since a previous incarnation may have written the key.
 pub(crate) const INCARNATION_UNKNOWN: u32 = 0;
 /// How long the platform may still route connections to a box that is stopping: it polls readiness every second, and acts on the
 /// second negative answer.
