--- a/components/relay/src/dispatch/takeover.rs
+++ b/components/relay/src/dispatch/takeover.rs
@@ -82,7 +82,7 @@
 
     /// Handles a message from a peer. If roles move because of it, waiting requests go to the new dispatcher of their pool,
     /// and it receives the open generations of this box.
-    pub(crate) fn handle_peer_contact(&self, upserted: Upserted, had_lost_peers: bool) {
+    pub(crate) fn handle_peer_contact(&self, update: Upserted, had_lost_peers: bool) {
         if had_lost_peers {
             let now_ms = self.now_ms();
             for (pool, dispatcher) in self.dispatchers.borrow_mut().iter_mut() {
@@ -91,7 +91,7 @@
                     "grants_from_ms" => dispatcher.grants_from_ms, "now_ms" => now_ms);
             }
         }
-        if had_lost_peers || upserted != Upserted::Known {
+        if had_lost_peers || update != Upserted::Known {
             self.peer_suspected.notify_waiters();
             self.generations_changed.notify_one();
         }
