--- a/components/relay/src/dispatch/reports.rs
+++ b/components/relay/src/dispatch/reports.rs
@@ -2,7 +2,7 @@
 //! asks: all load on engines is known without it, and each question is paid for.
 
 use crate::dispatch::asked::{ASKED_MAX, AskRound};
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::forwarding::outcome::TargetOutcome;
 use crate::state::Relay;
 use crate::watch::election::{View, another_asks, is_elected, rank};
@@ -137,7 +137,7 @@
 
 async fn ask(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
     metrics::counter!("shuntpier_engine_reports").increment(1);
-    let answer = control(&relay, address, &report_request(address)).await;
+    let answer = send_control_request(&relay, address, &report_request(address)).await;
     let report = answer.and_then(|(status, body)| parse_report(status, &body));
     let now_ms = relay.now_ms();
     if report.is_some()
@@ -148,6 +148,6 @@
     if let Some(report) = report.filter(|report| report.is_leaving) {
         slog::info!(relay.log, "engine says that it leaves"; "engine" => relay.name_of(slot),
             "gone_in_ms" => report.leaves_in_ms, "running" => report.running);
-        relay.record_outcome(slot, TargetOutcome::Leaves);
+        relay.record_outcome(slot, TargetOutcome::Leaving);
     }
 }
--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -26,7 +26,7 @@
             ParsedHeader::Malformed => self.not_understood(slot, "rate limit"),
         }
         match facts.leaving {
-            ParsedHeader::Value(true) => self.record_outcome(slot, TargetOutcome::Leaves),
+            ParsedHeader::Value(true) => self.record_outcome(slot, TargetOutcome::Leaving),
             ParsedHeader::Value(false) | ParsedHeader::Absent => {}
             ParsedHeader::Malformed => self.not_understood(slot, "leaving"),
         }
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -36,8 +36,8 @@
 
 /// What a box knows of plain targets. All of it is soft.
 #[derive(Debug, Default)]
-pub(crate) struct CallBalance {
-    records: SecondaryMap<TargetSlot, TargetStats>,
+pub(crate) struct CallBalancer {
+    targets: SecondaryMap<TargetSlot, TargetStats>,
     routes: HashMap<u64, RouteStats>,
     services: HashMap<Box<str>, ServiceTargets>,
     pub(crate) hints: HintBudget,
@@ -48,19 +48,19 @@
     xxh3_64(route.name.as_bytes())
 }
 
-impl CallBalance {
+impl CallBalancer {
     /// What is known of a target.
-    pub(crate) fn record(&mut self, slot: TargetSlot) -> Option<&mut TargetStats> {
-        Some(self.records.entry(slot)?.or_default())
+    pub(crate) fn stats_mut(&mut self, slot: TargetSlot) -> Option<&mut TargetStats> {
+        Some(self.targets.entry(slot)?.or_default())
     }
 
     /// What is known of a target, where anything is.
-    pub(crate) fn known(&self, slot: TargetSlot) -> Option<&TargetStats> {
-        self.records.get(slot)
+    pub(crate) fn stats(&self, slot: TargetSlot) -> Option<&TargetStats> {
+        self.targets.get(slot)
     }
 
     /// What is known of a route.
-    pub(crate) fn route(&mut self, key: u64) -> &mut RouteStats {
+    pub(crate) fn route_stats_mut(&mut self, key: u64) -> &mut RouteStats {
         if self.routes.len() >= ROUTES_MAX && !self.routes.contains_key(&key) {
             self.routes.clear();
         }
@@ -69,7 +69,7 @@
 
     /// Whether this box may have one more call at a target.
     fn has_room(&self, slot: TargetSlot, open: u32) -> bool {
-        self.known(slot)
+        self.stats(slot)
             .is_none_or(|record| record.limit.has_room(open))
     }
 
@@ -119,7 +119,7 @@
             let usual = self.routes.get(&asked.route).copied().unwrap_or_default();
             record.route_failures.excess(asked.route, usual.failures)
         };
-        let known = self.known(slot);
+        let known = self.stats(slot);
         let far = f64::from(u8::from(target.data_centre != relay.data_centre)) * FAR_SHARE;
         let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
         Candidate {
@@ -195,7 +195,7 @@
     /// What speaks against a target; none where it takes no call.
     fn against(
         &self,
-        balance: &CallBalance,
+        balance: &CallBalancer,
         book: &TargetBook,
         slot: TargetSlot,
         asked: &Asked,
@@ -212,7 +212,7 @@
     /// Those of the drawn targets that take work, with what speaks against each and what its cost is made of.
     fn given(
         &self,
-        balance: &CallBalance,
+        balance: &CallBalancer,
         book: &TargetBook,
         drawn: Vec<TargetSlot>,
         asked: &Asked,
--- a/components/relay/src/forwarding/beside.rs
+++ b/components/relay/src/forwarding/beside.rs
@@ -97,8 +97,8 @@
     relay.record_outcome(
         slot,
         match has_failed {
-            true => TargetOutcome::Failed,
-            false => TargetOutcome::Untried,
+            true => TargetOutcome::Failure,
+            false => TargetOutcome::Unknown,
         },
     );
 }
--- a/components/relay/src/forwarding/call_records.rs
+++ b/components/relay/src/forwarding/call_records.rs
@@ -23,13 +23,13 @@
         let open = self.open_at(slot);
         let key = route_key(route);
         let mut balance = self.balance.borrow_mut();
-        let of_route = balance.route(key);
+        let of_route = balance.route_stats_mut(key);
         of_route.failures.record(failed);
         if !failed {
             of_route.latency.record(took_ms as f64);
         }
         let usual_ms = of_route.latency.baseline_ms();
-        let Some(record) = balance.record(slot) else {
+        let Some(record) = balance.stats_mut(slot) else {
             return;
         };
         record.route_failures.record(key, failed);
@@ -43,8 +43,11 @@
     /// Notes that a target has not answered for so long, while another did.
     pub(crate) fn call_outrun(&self, slot: TargetSlot, route: &Route, waited_ms: u64) {
         let mut balance = self.balance.borrow_mut();
-        let usual_ms = balance.route(route_key(route)).latency.baseline_ms();
-        if let (Some(usual_ms), Some(record)) = (usual_ms, balance.record(slot)) {
+        let usual_ms = balance
+            .route_stats_mut(route_key(route))
+            .latency
+            .baseline_ms();
+        if let (Some(usual_ms), Some(record)) = (usual_ms, balance.stats_mut(slot)) {
             record
                 .latency
                 .record(waited_ms as f64, usual_ms, self.now_ms());
@@ -53,7 +56,7 @@
 
     /// Notes that a call got no answer, and tells others.
     pub(crate) fn call_unanswered(self: &Rc<Self>, slot: TargetSlot) {
-        self.took_hint(slot, self.id, HintWord::NoAnswer);
+        self.apply_hint(slot, self.id, HintWord::NoAnswer);
         self.tell_hint(slot, HintWord::NoAnswer);
     }
 
@@ -64,19 +67,19 @@
         let before = self
             .balance
             .borrow()
-            .known(slot)
+            .stats(slot)
             .map_or_else(Default::default, known);
-        self.took_hint(slot, self.id, HintWord::Slowness(percent));
+        self.apply_hint(slot, self.id, HintWord::Slowness(percent));
         if before.is_change(percent, now_ms) {
             self.tell_hint(slot, HintWord::Slowness(percent));
         }
     }
 
     /// Takes a word on a target in, this box's own or another's.
-    pub(crate) fn took_hint(&self, slot: TargetSlot, from: BoxId, word: HintWord) {
+    pub(crate) fn apply_hint(&self, slot: TargetSlot, from: BoxId, word: HintWord) {
         let now_ms = self.now_ms();
         let mut balance = self.balance.borrow_mut();
-        let Some(record) = balance.record(slot) else {
+        let Some(record) = balance.stats_mut(slot) else {
             return;
         };
         match word {
@@ -97,7 +100,7 @@
         let is_common = self
             .balance
             .borrow_mut()
-            .route(route_key(route))
+            .route_stats_mut(route_key(route))
             .failures
             .is_common();
         is_common && self.file().has(Mechanism::CallBalance)
@@ -107,7 +110,7 @@
     pub(crate) fn usual_ms(&self, route: &Route) -> Option<f64> {
         self.balance
             .borrow_mut()
-            .route(route_key(route))
+            .route_stats_mut(route_key(route))
             .latency
             .baseline_ms()
     }
@@ -124,7 +127,7 @@
             return;
         }
         let now_ms = self.now_ms();
-        if let Some(record) = self.balance.borrow_mut().record(slot) {
+        if let Some(record) = self.balance.borrow_mut().stats_mut(slot) {
             record.limit.record_refusal(open, now_ms);
             slog::info!(self.log, "target full"; "target" => self.name_of(slot), "open" => open,
                 "limit" => record.limit.max_calls());
--- a/components/relay/src/forwarding/control.rs
+++ b/components/relay/src/forwarding/control.rs
@@ -12,7 +12,7 @@
 const CALL_LIMIT: Duration = Duration::from_millis(4_000);
 
 /// One control call to an engine; none where it gave no answer.
-pub(crate) async fn control(
+pub(crate) async fn send_control_request(
     relay: &Relay,
     address: SocketAddr,
     call: &[u8],
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -225,7 +225,7 @@
             return Started::LocalReply(LocalReply::TimeOver);
         };
         relay.record_outcome(slot, outcome_of(&tried));
-        if outcome_of(&tried) == TargetOutcome::Failed {
+        if outcome_of(&tried) == TargetOutcome::Failure {
             relay.tell_engine_failed(permit.pool, slot, EngineFault::Broke);
         }
         match tried {
@@ -280,10 +280,10 @@
 pub(crate) fn outcome_of(tried: &Tried) -> TargetOutcome {
     match tried {
         // Whoever fails at once is the emptiest, and would draw all that comes.
-        Tried::Answered(opened) if opened.head.status >= 500 => TargetOutcome::Failed,
-        Tried::Answered(_) => TargetOutcome::Well,
+        Tried::Answered(opened) if opened.head.status >= 500 => TargetOutcome::Failure,
+        Tried::Answered(_) => TargetOutcome::Success,
         Tried::NotRun(why) => TargetOutcome::from(*why),
-        Tried::MayHaveRun(_) => TargetOutcome::Failed,
+        Tried::MayHaveRun(_) => TargetOutcome::Failure,
     }
 }
 
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -173,7 +173,7 @@
         let is_common = matches!(self, Self::Answered(_)) && relay.fails_commonly(way.route());
         let word = match self.word() {
             // The route fails everywhere: the target is doubted for this route alone.
-            TargetOutcome::Failed if is_common => TargetOutcome::Untried,
+            TargetOutcome::Failure if is_common => TargetOutcome::Unknown,
             word => word,
         };
         relay.record_outcome(slot, word);
@@ -208,9 +208,9 @@
     /// What it says of its target.
     fn word(&self) -> TargetOutcome {
         match self {
-            Self::Answered(reply) if reply.status < 500 => TargetOutcome::Well,
-            Self::Unheld(_) => TargetOutcome::Untried,
-            Self::Answered(_) | Self::MayHaveRun(_) => TargetOutcome::Failed,
+            Self::Answered(reply) if reply.status < 500 => TargetOutcome::Success,
+            Self::Unheld(_) => TargetOutcome::Unknown,
+            Self::Answered(_) | Self::MayHaveRun(_) => TargetOutcome::Failure,
             Self::NotRun(why) => TargetOutcome::from(*why),
         }
     }
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -12,30 +12,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TargetOutcome {
     /// It answered as it was to.
-    Well,
+    Success,
     /// It is full, and says so.
     Full,
     /// This life is over, or works for others.
-    Left,
+    Gone,
     /// It says itself that it leaves.
-    Leaves,
+    Leaving,
     /// It failed.
-    Failed,
+    Failure,
     /// Nothing: it was not sent the request.
-    Untried,
+    Unknown,
 }
 
 impl From<NotRun> for TargetOutcome {
     fn from(why: NotRun) -> Self {
         match why {
             NotRun::Refused { .. } => Self::Full,
-            NotRun::Misdirected | NotRun::Dead => Self::Left,
-            NotRun::Unreachable => Self::Failed,
+            NotRun::Misdirected | NotRun::Dead => Self::Gone,
+            NotRun::Unreachable => Self::Failure,
             NotRun::Evacuated
             | NotRun::Leaving
             | NotRun::Heavy
             | NotRun::BackingOff { .. }
-            | NotRun::Limited { .. } => Self::Untried,
+            | NotRun::Limited { .. } => Self::Unknown,
         }
     }
 }
@@ -53,8 +53,8 @@
         let now_ms = self.now_ms();
         let mut targets = self.targets.borrow_mut();
         let left = match word {
-            TargetOutcome::Left => targets.leaves(slot),
-            TargetOutcome::Leaves => targets.says_it_leaves(slot),
+            TargetOutcome::Gone => targets.leaves(slot),
+            TargetOutcome::Leaving => targets.says_it_leaves(slot),
             _ => None,
         };
         if word == TargetOutcome::Full {
@@ -66,19 +66,19 @@
         };
         let before = passed_over(&targets);
         match word {
-            TargetOutcome::Well => {
+            TargetOutcome::Success => {
                 if let Some(target) = targets.get_mut(slot) {
                     target.suspicion.record_success();
                 }
             }
-            TargetOutcome::Failed if self.file().has(Mechanism::Suspicion) => {
+            TargetOutcome::Failure if self.file().has(Mechanism::Suspicion) => {
                 targets.failed(slot, now_ms);
             }
-            TargetOutcome::Failed
+            TargetOutcome::Failure
             | TargetOutcome::Full
-            | TargetOutcome::Left
-            | TargetOutcome::Leaves
-            | TargetOutcome::Untried => {}
+            | TargetOutcome::Gone
+            | TargetOutcome::Leaving
+            | TargetOutcome::Unknown => {}
         }
         let doubted = passed_over(&targets) && !before;
         drop(targets);
@@ -103,7 +103,7 @@
     }
 
     /// Whether a life is over as far as this box knows: it is not listed, or another has begun under its name.
-    pub(crate) fn is_over(&self, slot: TargetSlot) -> bool {
+    pub(crate) fn is_gone(&self, slot: TargetSlot) -> bool {
         let targets = self.targets.borrow();
         targets
             .get(slot)
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -387,7 +387,7 @@
         if relay.takes_work(self.open.slot) {
             let now_ms = relay.now_ms();
             let mut channels = relay.channels.borrow_mut();
-            channels.rest(
+            channels.put(
                 self.open.slot,
                 self.channel,
                 self.facts.keep_alive_ms,
--- a/components/relay/src/ingress/mod.rs
+++ b/components/relay/src/ingress/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod accept;
 pub(crate) mod lag;
-pub(crate) mod overrun;
+pub(crate) mod overload;
 pub(crate) mod readiness;
 mod reading;
 pub(crate) mod request;
--- a/components/relay/src/ingress/overrun.rs
+++ b/components/relay/src/ingress/overload.rs
@@ -21,7 +21,7 @@
 const CLOSED_OF: u32 = 8;
 
 /// Watches the box's own loop for as long as the box lives.
-pub(crate) async fn run_overrun(relay: Rc<Relay>) {
+pub(crate) async fn run_overload_monitor(relay: Rc<Relay>) {
     let mut meter = LagMeter::default();
     let mut ask_at_ms = 0;
     let mut was_overrun = false;
@@ -71,13 +71,13 @@
     }
 
     /// Whether this box takes no new channels for now, as it is overrun and others are not.
-    pub(crate) fn stands_back(&self) -> bool {
+    pub(crate) fn is_shedding_load(&self) -> bool {
         self.now_ms() < self.stands_back_until_ms.get()
     }
 
     /// Whether the channel of an answer is closed after it, so that its caller finds another box.
     pub(crate) fn sheds_channel(&self) -> bool {
         self.is_stopping()
-            || (self.stands_back() && rand::random::<u32>().is_multiple_of(CLOSED_OF))
+            || (self.is_shedding_load() && rand::random::<u32>().is_multiple_of(CLOSED_OF))
     }
 }
--- a/components/relay/src/membership/hints.rs
+++ b/components/relay/src/membership/hints.rs
@@ -60,7 +60,7 @@
         let slot = self.targets.borrow().slot_of(hint.target);
         if let Some(slot) = slot {
             metrics::counter!("shuntpier_target_hints", "outcome" => "taken").increment(1);
-            self.took_hint(slot, hint.from, hint.word);
+            self.apply_hint(slot, hint.from, hint.word);
         }
         for id in group {
             tokio::task::spawn_local(hint_group(self.clone(), hint.clone(), vec![id]));
--- a/components/relay/src/membership/stand_back.rs
+++ b/components/relay/src/membership/stand_back.rs
@@ -47,7 +47,7 @@
 impl Relay {
     /// Answers a box that is overrun, also this one.
     pub(crate) fn may_stand_back(&self, from: BoxId) -> bool {
-        if from != self.id && self.stands_back() {
+        if from != self.id && self.is_shedding_load() {
             // Where the role moved, two that count would let all go.
             return false;
         }
--- a/components/relay/src/migration/moved.rs
+++ b/components/relay/src/migration/moved.rs
@@ -1,6 +1,6 @@
 //! A generation's copy at another engine, until the generation goes on there or the copy is freed.
 
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetSlot};
 use platform::drop_copy_request;
@@ -46,6 +46,6 @@
     metrics::counter!("shuntpier_copies_freed").increment(1);
     let (relay, call) = (relay.clone(), drop_copy_request(holder, copy));
     tokio::task::spawn_local(async move {
-        control(&relay, holder, &call).await;
+        send_control_request(&relay, holder, &call).await;
     });
 }
--- a/components/relay/src/migration/mover.rs
+++ b/components/relay/src/migration/mover.rs
@@ -2,7 +2,7 @@
 //! is new, then on at the other engine. The decision where to is the dispatcher's.
 
 use crate::dispatch::permits::Permit;
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::migration::moved::{Moved, free_copy};
 use crate::state::Relay;
 use crate::watch::targets::{Belief, TargetSlot};
@@ -294,7 +294,7 @@
             }
         };
         let copied_ms = relay.now_ms();
-        if relay.is_over(to) {
+        if relay.is_gone(to) {
             // The copy went with the life that held it: a stop now would end the generation.
             free_copy(relay, to_address, &first);
             return Try::Again("the engine is gone", to_id);
@@ -356,7 +356,7 @@
             return CopyReply::NoRoom { kept: None };
         };
         let call = copy_request(self.source_address, &self.id, to_address, stops);
-        let reply = control(relay, self.source_address, &call).await;
+        let reply = send_control_request(relay, self.source_address, &call).await;
         reply.map_or(CopyReply::Unknown { status: 0 }, |(status, body)| {
             parse_copy_reply(status, &body)
         })
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -3,7 +3,7 @@
 use crate::dispatch::reports::{run_reports, run_trials};
 use crate::held::Holdings;
 use crate::ingress::accept;
-use crate::ingress::overrun::run_overrun;
+use crate::ingress::overload::run_overload_monitor;
 use crate::ingress::readiness;
 use crate::membership::exchange::{greet, run_exchanges};
 use crate::membership::gossip::Handler;
@@ -181,7 +181,7 @@
     spawn_local(run_settings(relay.clone()));
     spawn_local(run_evacuation(relay.clone()));
     spawn_local(run_sweeps(relay.clone()));
-    spawn_local(run_overrun(relay.clone()));
+    spawn_local(run_overload_monitor(relay.clone()));
     slog::info!(relay.log, "box started"; "callers" => %relay.identity.callers_address,
         "peers" => %peers_address, "store" => %relay.file().store.address, "life" => relay.life);
     Ok(Running(relay))
@@ -191,7 +191,7 @@
     loop {
         sleep(SWEEP_EACH).await;
         let now_ms = relay.now_ms();
-        relay.channels.borrow_mut().sweep(now_ms);
+        relay.channels.borrow_mut().close_expired(now_ms);
         relay.sweep_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -3,8 +3,8 @@
 use crate::dispatch::completion::CompletionEstimator;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::open_generations::OpenGenerations;
-use crate::forwarding::balance::CallBalance;
-use crate::forwarding::channels::Channels;
+use crate::forwarding::balance::CallBalancer;
+use crate::forwarding::idle_channels::IdleChannels;
 use crate::held::{Bounds, Holdings};
 use crate::ingress::request::LocalReply;
 use crate::membership::lacking::Lacking;
@@ -70,11 +70,11 @@
     pub(crate) refused_entries: RefCell<RefusedEntries>,
     /// Rises with each change of targets that matters.
     pub(crate) target_changes: watch::Sender<u64>,
-    pub(crate) channels: RefCell<Channels>,
+    pub(crate) channels: RefCell<IdleChannels>,
     /// What is kept for callers and targets that read slowly.
     pub(crate) held: Rc<Holdings>,
     /// What calls showed of plain targets.
-    pub(crate) balance: RefCell<CallBalance>,
+    pub(crate) balance: RefCell<CallBalancer>,
     /// A request at a target ended: a call that waits may find room.
     pub(crate) calls_ended: Notify,
     /// Rate limits of targets.
@@ -201,7 +201,7 @@
 
     /// Whether this box takes new channels: it knows what operators declared and where targets are, and is not overrun.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.is_synced() && !self.stands_back()
+        !self.is_stopping() && self.is_synced() && !self.is_shedding_load()
     }
 
     pub(crate) fn card(&self) -> FleetCard {
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -1,6 +1,6 @@
 //! The box as operators see it.
 
-use crate::forwarding::balance::{CallBalance, route_key};
+use crate::forwarding::balance::{CallBalancer, route_key};
 use crate::state::{Relay, pool_of};
 use crate::watch::targets::TargetSlot;
 use crate::watch::targets::{Belief, Target, TargetBook};
@@ -92,11 +92,11 @@
 
     fn calls_view(
         &self,
-        balance: &CallBalance,
+        balance: &CallBalancer,
         slot: TargetSlot,
         target: &Target,
     ) -> Option<TargetCallsView> {
-        let record = balance.known(slot)?;
+        let record = balance.stats(slot)?;
         let now_ms = self.now_ms();
         Some(TargetCallsView {
             pace_share: record.latency.ratio(now_ms),
--- a/components/relay/src/watch/changes.rs
+++ b/components/relay/src/watch/changes.rs
@@ -38,7 +38,7 @@
                 if !matches!(change, Change::Leaves(_)) {
                     self.note_unannounced_end(ended);
                 }
-                self.channels.borrow_mut().close(ended);
+                self.channels.borrow_mut().close_target(ended);
                 self.targets.borrow_mut().sweep(ended);
             }
         }
--- a/components/relay/src/watch/evacuation.rs
+++ b/components/relay/src/watch/evacuation.rs
@@ -114,7 +114,7 @@
             .all()
             .filter(|(_, target)| targets.is_evacuated(target));
         let mut channels = self.channels.borrow_mut();
-        evacuated.for_each(|(slot, _)| channels.close(slot));
+        evacuated.for_each(|(slot, _)| channels.close_target(slot));
     }
 
     /// Whether a target stands in an evacuated data centre.
