--- a/components/relay/src/forwarding/admission.rs
+++ b/components/relay/src/forwarding/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent to a target: decided here for every way in which requests are sent, and looked at again
-//! at the moment of sending.
+//! Decides whether a request may be sent to a target, for all kinds of sends. The decision is checked again immediately
+//! before sending.
 
 use crate::forwarding::send::NotRun;
 use crate::rate_limit::token::TokenAsk;
@@ -7,17 +7,17 @@
 use crate::watch::targets::TargetSlot;
 use std::rc::Rc;
 
-/// What is sent.
+/// What kind of request is sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SendKind {
     /// A plain call.
     Call(TokenAsk),
-    /// A generation whose dispatcher placed it on the target, within the target's rate limit.
+    /// A new generation, placed on the target by its dispatcher within the target's rate limit.
     Generation,
-    /// A running generation that goes on where it was placed.
+    /// A running generation that resumes at the target it is moved to.
     Continuation,
-    /// A running generation that goes on at its source, as it could not where it was placed. It was counted there when it
-    /// began, and is lost if it is not sent.
+    /// A running generation that resumes at its source because the move failed. It was counted there when it began, and
+    /// is lost if it is not sent.
     Resumption,
 }
 
@@ -26,12 +26,12 @@
 pub(crate) struct Admission {
     pub(crate) slot: TargetSlot,
     kind: SendKind,
-    /// It counts towards the target's rate limit, if that has one.
+    /// Whether the request was counted against the target's rate limit, if there is one.
     is_rate_counted: bool,
 }
 
 impl SendKind {
-    /// Whether it runs already: a target that leaves serves what it has.
+    /// Whether the generation is already running: a leaving target still serves what it has.
     fn is_running(self) -> bool {
         matches!(self, Self::Continuation | Self::Resumption)
     }
@@ -41,7 +41,7 @@
     /// Admits a request to a target.
     ///
     /// # Errors
-    /// Why it may not be sent.
+    /// The reason why the request may not be sent.
     pub(crate) async fn admit(
         self: &Rc<Self>,
         slot: TargetSlot,
@@ -63,16 +63,16 @@
         Ok(admission)
     }
 
-    /// Why an admitted request may not be sent now, if it may not.
+    /// The reason why an admitted request may not be sent now; none if it may.
     pub(super) fn refusal_reason(&self, admission: &Admission) -> Option<NotRun> {
         let slot = admission.slot;
         if self.is_evacuated(slot) {
-            // It was placed before the order came here.
+            // The request was placed before this box received the evacuation order.
             metrics::counter!("shuntpier_evacuated_sends_withheld").increment(1);
             return Some(NotRun::Evacuated);
         }
         if !admission.kind.is_running() && !self.takes_work(slot) {
-            // It was chosen before the target's word came here.
+            // The target was chosen before this box learned that it is leaving.
             metrics::counter!("shuntpier_leaving_sends_withheld").increment(1);
             return Some(NotRun::Leaving);
         }
@@ -81,14 +81,14 @@
             return Some(NotRun::BackingOff { retry_after_ms });
         }
         if !admission.is_rate_counted && self.rate_limit_of(slot).is_some() {
-            // The limit became known after it was admitted.
+            // The rate limit became known after the request was admitted.
             metrics::counter!("shuntpier_rate_limited_sends_withheld").increment(1);
             return Some(NotRun::RateLimited { retry_after_ms: 0 });
         }
         None
     }
 
-    /// What is left of the pause that a target asked this box for, where a request is kept from it by that.
+    /// The remaining backoff (ms) of a target, unless the request is exempt from it.
     fn remaining_backoff_ms(&self, admission: &Admission) -> Option<u64> {
         if matches!(admission.kind, SendKind::Resumption) {
             return None;
--- a/components/relay/src/forwarding/announcements.rs
+++ b/components/relay/src/forwarding/announcements.rs
@@ -1,4 +1,4 @@
-//! What targets announce of themselves in the heads of their answers.
+//! Handles what targets announce in response headers: Retry-After, rate limits and leaving.
 
 use crate::forwarding::outcome::TargetOutcome;
 use crate::state::Relay;
@@ -7,11 +7,11 @@
 use platform::{ParsedHeader, ResponseMetadata};
 use std::rc::Rc;
 
-/// Statuses with which a target turns a request away.
+/// Response statuses with which a target rejects a request.
 const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
 impl Relay {
-    /// Takes in what an answer announces of its target. Its request was sent at `sent_ms`.
+    /// Applies what a response announces about its target. The request was sent at `sent_ms`.
     pub(crate) fn observe_response(
         self: &Rc<Self>,
         slot: TargetSlot,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A target that turns a request away may ask this box for a pause.
+    /// Starts or ends the backoff that a target asks for when it rejects requests.
     fn observe_retry_after(
         self: &Rc<Self>,
         slot: TargetSlot,
--- a/components/relay/src/forwarding/attempt.rs
+++ b/components/relay/src/forwarding/attempt.rs
@@ -1,4 +1,4 @@
-//! One offer of a plain request to one target, its answer read whole.
+//! One attempt to serve a plain request at one target. The response is buffered whole and verified.
 
 use crate::forwarding::admission::{Admission, SendKind};
 use crate::forwarding::outcome::TargetOutcome;
@@ -18,22 +18,23 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What is said of a target that was waited for in vain.
+/// Failure text of an attempt that timed out.
 const NO_ANSWER_IN_TIME: &str = "the target did not answer in time";
 
-/// What is said of an answer for which there was no memory in its time.
+/// Failure text of a response that could not be buffered before its deadline.
 pub(crate) const NO_MEMORY: &str = "no memory for the answer in its time";
 
-/// What one offer led to.
+/// Result of one attempt.
 pub(super) enum AttemptResult {
     Answered(Reply),
     NotRun(NotRun),
     MayHaveRun(&'static str),
-    /// It ran, and this box has no memory for its answer: no fault of the target, and another would not help.
+    /// The request ran, but this box has no memory for the response. The target is not at fault, and another target
+    /// would not help.
     OutOfMemory(&'static str),
 }
 
-/// The token that a request needs where its target has a rate limit.
+/// The rate token that a request needs if its target has a rate limit.
 pub(super) fn new_token_request(
     resolved: &ResolvedRoute,
     wait_ms: u64,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Offers a request to a target that admits it, for so long.
+/// Attempts a request at a target if the request may be sent there, until the caller's deadline.
 pub(super) async fn admit_and_attempt(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -65,7 +66,7 @@
     }
 }
 
-/// Offers an admitted request to its target, for so long.
+/// Attempts an admitted request at its target for at most `timeout_ms`.
 pub(super) async fn attempt(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -94,7 +95,7 @@
         body: &incoming.body,
         has_no_body: &*incoming.head.method == "HEAD",
         max_idle_ms: match route.kind {
-            // Where a channel that rested failed, the second is not chosen by that.
+            // A first run may use any idle channel: if that fails, the request may be repeated on a fresh one.
             RouteKind::Repeatable if runs == 0 => u64::MAX,
             _ => UNREPEATABLE_MAX_IDLE_MS,
         },
@@ -140,7 +141,7 @@
     }
 }
 
-/// Reads an answer whole and checks it before any of it is passed on.
+/// Verifies a response and buffers it whole before any of it is forwarded.
 async fn read_response(
     relay: &Rc<Relay>,
     slot: TargetSlot,
@@ -175,7 +176,7 @@
 }
 
 impl AttemptResult {
-    /// Notes what it says of its target.
+    /// Logs a failure and records the outcome for the target's statistics and outlier ejection.
     pub(super) fn recorded(
         self,
         relay: &Rc<Relay>,
@@ -187,12 +188,12 @@
         let fails_everywhere =
             matches!(self, Self::Answered(_)) && relay.fails_everywhere(resolved.route());
         let outcome = match self.target_outcome() {
-            // The route fails everywhere: the target is doubted for this route alone.
+            // The route fails at all targets: only the target's statistics for this route count the failure.
             TargetOutcome::Failure if fails_everywhere => TargetOutcome::Unknown,
             outcome => outcome,
         };
         relay.record_outcome(slot, outcome);
-        // A caller who waits for less than the goal says nothing of a target.
+        // A timeout before the route's answer goal is the caller's choice and does not count against the target.
         let waited_ms = relay.now_ms() - incoming.arrived_ms;
         let is_goal_passed = waited_ms >= resolved.route().answer_goal_ms;
         let has_no_answer = match &self {
@@ -200,7 +201,7 @@
             Self::NotRun(NotRun::Unreachable) => true,
             _ => false,
         };
-        // One that says when to come back is kept from calls by that alone.
+        // A refusal with Retry-After is handled by the backoff and does not lower the concurrency limit.
         let is_full = matches!(
             self,
             Self::NotRun(NotRun::Refused {
@@ -220,7 +221,7 @@
         matches!(self, Self::Answered(reply) if reply.status < 500)
     }
 
-    /// What it says of its target.
+    /// The target's outcome that follows from this result.
     fn target_outcome(&self) -> TargetOutcome {
         match self {
             Self::Answered(reply) if reply.status < 500 => TargetOutcome::Success,
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Writes an offer that failed to the log.
+    /// Logs an attempt that failed.
     fn log_failure(&self, relay: &Relay, incoming: &IncomingRequest, slot: TargetSlot) {
         let outcome = match self {
             Self::Answered(reply) if reply.status < 500 => return,
@@ -243,7 +244,7 @@
             "target" => relay.name_of(slot), "after_ms" => relay.now_ms() - incoming.arrived_ms);
     }
 
-    /// Whether the target got the request.
+    /// Whether the target received the request.
     pub(super) fn reached_target(&self) -> bool {
         !matches!(self, Self::NotRun(why) if !why.reached_target())
     }
--- a/components/relay/src/forwarding/balance.rs
+++ b/components/relay/src/forwarding/balance.rs
@@ -1,5 +1,5 @@
-//! Plain calls balanced among targets: what this box saw and was told of each, and which one a call goes to. A call looks
-//! at a few targets, drawn anew each time, so that its cost does not grow with the targets.
+//! Balances plain calls among targets by what this box observed of each and what peers reported. Each call chooses from a
+//! small random sample, so that the cost of a choice does not grow with the number of targets.
 
 use crate::state::Relay;
 use crate::watch::targets::{COLD_SHARE, ColdRate, FAR_SHARE, Target, TargetBook, TargetSlot};
@@ -11,30 +11,30 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Targets of this data centre that one call looks at: some that fail still leave enough to choose from.
+/// Sample size for targets of this data centre. Enough remain to choose from if some of them fail.
 const NEAR_SAMPLE_SIZE: usize = 12;
-/// Targets of other data centres that it looks at: they are for when those here are full.
+/// Sample size for targets of other data centres, which are used when the local ones are full.
 const FAR_SAMPLE_SIZE: usize = 6;
-/// Routes whose records are kept. Beyond that all are forgotten: they are learnt again within a few answers.
+/// Maximum number of routes with statistics. Beyond it all are cleared; they are learned again within a few answers.
 const MAX_ROUTES: usize = 512;
 
-/// What a plain request asks for, as far as the choice of its target goes.
+/// The properties of a plain request by which its target is chosen.
 pub(crate) struct TargetQuery<'a> {
     pub service: &'a str,
     pub route: u64,
     pub cold: ColdRate,
 }
 
-/// A service's targets.
+/// The targets of a service, cached until the set of targets changes.
 #[derive(Debug, Default)]
 struct ServiceTargets {
-    /// The count of changes at which this was read.
+    /// The count of target changes at which this was read.
     version: u64,
     near: Vec<TargetSlot>,
     far: Vec<TargetSlot>,
 }
 
-/// What a box knows of plain targets. All of it is soft.
+/// Statistics of plain targets and routes on this box. All of it is soft state.
 #[derive(Debug, Default)]
 pub(crate) struct CallBalancer {
     targets: SecondaryMap<TargetSlot, TargetStats>,
@@ -43,23 +43,23 @@
     pub(crate) hints: HintBudget,
 }
 
-/// A route's key among those of all declarations.
+/// The key of a route's statistics. It stays the same when declarations change.
 pub(crate) fn route_key(route: &Route) -> u64 {
     xxh3_64(route.name.as_bytes())
 }
 
 impl CallBalancer {
-    /// What is known of a target.
+    /// The statistics of a target, created if missing.
     pub(crate) fn stats_mut(&mut self, slot: TargetSlot) -> Option<&mut TargetStats> {
         Some(self.targets.entry(slot)?.or_default())
     }
 
-    /// What is known of a target, where anything is.
+    /// The statistics of a target, if there are any.
     pub(crate) fn stats(&self, slot: TargetSlot) -> Option<&TargetStats> {
         self.targets.get(slot)
     }
 
-    /// What is known of a route.
+    /// The statistics of a route, created if missing.
     pub(crate) fn route_stats_mut(&mut self, key: u64) -> &mut RouteStats {
         if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(&key) {
             self.routes.clear();
@@ -67,34 +67,34 @@
         self.routes.entry(key).or_default()
     }
 
-    /// Whether this box may have one more call at a target.
+    /// Whether this box's concurrency limit at a target allows one more call.
     fn has_capacity(&self, slot: TargetSlot, open: u32) -> bool {
         self.stats(slot)
-            .is_none_or(|record| record.limit.has_room(open))
+            .is_none_or(|stats| stats.limit.has_room(open))
     }
 
-    /// Some targets of a service, drawn at random for each call, and whether they are all that it has.
+    /// A random sample of a service's targets, and whether it contains all of them.
     fn sample(
         &mut self,
         relay: &Relay,
-        book: &TargetBook,
+        targets: &TargetBook,
         service: &str,
     ) -> (Vec<TargetSlot>, bool) {
         let version = *relay.target_changes.borrow();
-        let known = self.services.get(service);
-        if known.is_none_or(|known| known.version != version) {
-            let (near, far) = book
+        let cached = self.services.get(service);
+        if cached.is_none_or(|cached| cached.version != version) {
+            let (near, far) = targets
                 .of_service(service)
                 .partition::<Vec<_>, _>(|(_, target)| target.data_centre == relay.data_centre);
             let slots = |targets: Vec<(TargetSlot, &Target)>| {
                 targets.into_iter().map(|(slot, _)| slot).collect()
             };
-            let read = ServiceTargets {
+            let refreshed = ServiceTargets {
                 version,
                 near: slots(near),
                 far: slots(far),
             };
-            self.services.insert(service.into(), read);
+            self.services.insert(service.into(), refreshed);
         }
         let Some(service_targets) = self.services.get(service) else {
             return (Vec::new(), true);
@@ -119,121 +119,122 @@
         query: &TargetQuery,
     ) -> Candidate {
         let now_ms = relay.now_ms();
-        let excess_failures = |record: &TargetStats| {
+        let excess_failures = |stats: &TargetStats| {
             let baseline = self.routes.get(&query.route).copied().unwrap_or_default();
-            record.route_failures.excess(query.route, baseline.failures)
+            stats.route_failures.excess(query.route, baseline.failures)
         };
-        let known = self.stats(slot);
+        let cached = self.stats(slot);
         let far = f64::from(u8::from(target.data_centre != relay.data_centre)) * FAR_SHARE;
         let cold = f64::from(u8::from(now_ms < target.cold_until_ms)) * COLD_SHARE;
         Candidate {
-            latency_ratio: known.map_or(1.0, |record| record.latency_ratio(now_ms)),
+            latency_ratio: cached.map_or(1.0, |stats| stats.latency_ratio(now_ms)),
             fullness: target.fullness(now_ms),
             excess_failure_rate: target.suspicion.failed_share()
-                + known.map_or(0.0, excess_failures),
+                + cached.map_or(0.0, excess_failures),
             penalty: far + cold,
-            deprioritized: known.is_some_and(|record| record.suspicion.is_deprioritized(now_ms)),
-            suspected: known.is_some_and(|record| record.suspicion.is_suspected(now_ms)),
+            deprioritized: cached.is_some_and(|stats| stats.suspicion.is_deprioritized(now_ms)),
+            suspected: cached.is_some_and(|stats| stats.suspicion.is_suspected(now_ms)),
         }
     }
 }
 
-/// What speaks against a target before its cost, compared in this order: it was tried, it failed this box, it is full.
+/// Preference that precedes cost; lower is better. In order of weight: the target was attempted for this request, is
+/// ejected by this box, is full.
 type PreferenceTier = (bool, bool, bool);
 
 impl Relay {
-    /// The target that a plain call goes to. Those that were tried, that failed this box, or that are full are only
-    /// taken where there is no other.
+    /// Chooses the target of a plain call. Targets that were attempted, are ejected or are full are chosen only if there is
+    /// no other.
     pub(crate) fn choose_call_target(
         &self,
         query: &TargetQuery,
         attempted: &[TargetSlot],
     ) -> Option<TargetSlot> {
-        let book = self.targets.borrow();
+        let targets = self.targets.borrow();
         if self.file().has(Mechanism::CallBalance) {
             let mut balance = self.balance.borrow_mut();
-            let (sample, is_complete) = balance.sample(self, &book, query.service);
-            let candidates = self.tiered_candidates(&balance, &book, sample, query, attempted);
+            let (sample, is_complete) = balance.sample(self, &targets, query.service);
+            let candidates = self.tiered_candidates(&balance, &targets, sample, query, attempted);
             let best_tier = candidates.iter().map(|(tier, ..)| *tier).min();
-            // Where all that were drawn were tried or failed this box, the book looks at all targets, below.
+            // If all sampled targets were attempted or are ejected, the choice below considers all targets.
             if is_complete || best_tier.is_some_and(|(attempted, failed, _)| !attempted && !failed)
             {
                 return best_in_tier(&candidates, best_tier?);
             }
         }
         let near = self.data_centre;
-        book.choose(query.service, near, attempted, query.cold, self.now_ms())
+        targets.choose(query.service, near, attempted, query.cold, self.now_ms())
     }
 
-    /// Whether all targets that a call could go to are full, as far as this box knows. Those with a rate limit are not: a
-    /// call waits for them in the order in which tokens are granted.
+    /// Whether all sampled targets for a call are full, as far as this box knows. A target that is out of rate tokens does
+    /// not count as full: calls wait for it in the order in which tokens are granted.
     pub(crate) fn all_targets_full(&self, query: &TargetQuery) -> bool {
-        let book = self.targets.borrow();
+        let targets = self.targets.borrow();
         let mut balance = self.balance.borrow_mut();
-        let (sample, _) = balance.sample(self, &book, query.service);
+        let (sample, _) = balance.sample(self, &targets, query.service);
         let now_ms = self.now_ms();
         let is_out_of_tokens = |target: &Target| target.is_out_of_tokens(now_ms);
         if sample
             .iter()
-            .any(|slot| book.get(*slot).is_some_and(is_out_of_tokens))
+            .any(|slot| targets.get(*slot).is_some_and(is_out_of_tokens))
         {
             return false;
         }
         let tier = sample
             .into_iter()
-            .filter_map(|slot| self.preference_tier(&balance, &book, slot, query, &[]));
+            .filter_map(|slot| self.preference_tier(&balance, &targets, slot, query, &[]));
         tier.min() == Some((false, false, true))
     }
 
-    /// Whether all targets that a call could go to asked this box for pauses which last beyond a time.
+    /// Whether all targets for a call asked this box to back off until after `until_ms`.
     pub(crate) fn all_backing_off_past(&self, query: &TargetQuery, until_ms: u64) -> bool {
         let now_ms = self.now_ms();
-        let book = self.targets.borrow();
-        let of_service = book.of_service(query.service);
-        let mut taking = of_service.filter(|(_, target)| book.takes_work(target));
-        let is_beyond = |target: &Target| {
+        let targets = self.targets.borrow();
+        let of_service = targets.of_service(query.service);
+        let mut available = of_service.filter(|(_, target)| targets.takes_work(target));
+        let backs_off_past = |target: &Target| {
             let left_ms = target.backoff.remaining_ms(now_ms);
             left_ms.is_some_and(|left_ms| now_ms + left_ms > until_ms)
         };
-        taking.all(|(_, target)| is_beyond(target))
+        available.all(|(_, target)| backs_off_past(target))
     }
 
-    /// What speaks against a target; none where it takes no call.
+    /// The preference tier of a target; none if it accepts no call.
     fn preference_tier(
         &self,
         balance: &CallBalancer,
-        book: &TargetBook,
+        targets: &TargetBook,
         slot: TargetSlot,
         query: &TargetQuery,
         attempted: &[TargetSlot],
     ) -> Option<PreferenceTier> {
-        let target = book.get(slot)?;
+        let target = targets.get(slot)?;
         let now_ms = self.now_ms();
-        let is_available = book.takes_work(target) && query.cold.allows(target, now_ms);
+        let is_available = targets.takes_work(target) && query.cold.allows(target, now_ms);
         let is_full = target.is_full(now_ms) || !balance.has_capacity(slot, target.open);
         let is_ejected = target.suspicion.is_ejected(now_ms);
         is_available.then_some((attempted.contains(&slot), is_ejected, is_full))
     }
 
-    /// Those of the drawn targets that take work, with what speaks against each and what its cost is made of.
+    /// The sampled targets that accept work, with their preference tiers and the inputs of their costs.
     fn tiered_candidates(
         &self,
         balance: &CallBalancer,
-        book: &TargetBook,
+        targets: &TargetBook,
         sample: Vec<TargetSlot>,
         query: &TargetQuery,
         attempted: &[TargetSlot],
     ) -> Vec<(PreferenceTier, TargetSlot, Candidate)> {
-        let one = |slot: TargetSlot| {
-            let tier = self.preference_tier(balance, book, slot, query, attempted)?;
-            let candidate = balance.candidate(self, slot, book.get(slot)?, query);
+        let to_candidate = |slot: TargetSlot| {
+            let tier = self.preference_tier(balance, targets, slot, query, attempted)?;
+            let candidate = balance.candidate(self, slot, targets.get(slot)?, query);
             Some((tier, slot, candidate))
         };
-        sample.into_iter().filter_map(one).collect()
+        sample.into_iter().filter_map(to_candidate).collect()
     }
 }
 
-/// The target of least cost among those against which exactly `least` speaks.
+/// The target of lowest cost within the given tier.
 fn best_in_tier(
     candidates: &[(PreferenceTier, TargetSlot, Candidate)],
     best_tier: PreferenceTier,
@@ -243,8 +244,8 @@
         .filter(|(tier, ..)| *tier == best_tier)
         .collect();
     let candidates: Vec<Candidate> = in_tier.iter().map(|(.., candidate)| *candidate).collect();
-    let at = choose_target(SelectionPolicy::LowestCost, &candidates, rand::random)?;
-    let (_, slot, chosen) = in_tier[at];
+    let index = choose_target(SelectionPolicy::LowestCost, &candidates, rand::random)?;
+    let (_, slot, chosen) = in_tier[index];
     metrics::histogram!("shuntpier_call_expected_share").record(chosen.cost());
     Some(*slot)
 }
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -1,5 +1,5 @@
-//! Plain requests: sent to the target with the least expected time (see [`crate::forwarding::balance`]), again where the
-//! route and the budget allow, and answered whole.
+//! Serves plain requests: sends each to the target of lowest cost (see [`crate::forwarding::balance`]), retries where the
+//! route and the retry budget allow, and buffers the answer whole.
 
 use crate::forwarding::attempt::{AttemptResult, admit_and_attempt, new_token_request};
 use crate::forwarding::balance::{TargetQuery, route_key};
@@ -15,38 +15,38 @@
 use settings::Mechanism;
 use std::rc::Rc;
 
-/// Targets that one request is offered to, those that refuse it counted.
+/// Maximum number of targets attempted for one request, including those that refuse it.
 const MAX_ATTEMPTS: usize = 4;
-/// When a refused caller is told to come back, where no target says so.
+/// Retry-After for a refused caller when no target gives one.
 const DEFAULT_RETRY_AFTER_MS: u64 = 300;
 
-/// What the offers of a request have led to so far.
+/// State of the attempts for one request so far.
 #[derive(Default)]
 pub(super) struct CallAttempts {
     pub(super) attempted: Vec<TargetSlot>,
-    /// Those of them that hold as many bytes of requests as they may.
+    /// Attempted targets that are at this box's limit of request bytes.
     byte_limited: Vec<TargetSlot>,
-    /// Those of them whose rate limits left no room, and when they do.
+    /// Attempted targets whose rate limit was exhausted, and when a token is expected (ms).
     rate_limited: Vec<(TargetSlot, u64)>,
-    /// Offers that reached their target.
+    /// Attempts that reached their target.
     pub(super) sends: u32,
-    /// Offers after which the request may have run.
+    /// Attempts in which the request may have run.
     pub(super) runs: u32,
-    /// An answer that is passed on where no better one comes.
+    /// The failed answer to forward if no later attempt gets a better one.
     fallback: Option<Reply>,
     retry_after_ms: Option<u64>,
     last_failure: &'static str,
 }
 
 impl CallAttempts {
-    /// When a caller that is sent away is told to come back, where that is known.
+    /// The shortest delay (ms) after which a refused caller should retry, if known.
     fn earliest_retry_ms(&self, now_ms: u64) -> Option<u64> {
         let tokens = self.rate_limited.iter().map(|(_, at_ms)| *at_ms);
         let token_ms = tokens.min().map(|at_ms| at_ms.saturating_sub(now_ms));
         token_ms.into_iter().chain(self.retry_after_ms).min()
     }
 
-    /// The target whose rate limit leaves room first, for a request that nobody ran.
+    /// The rate-limited target that has a token first, if no attempt may have run the request.
     fn first_rate_limited(&self) -> Option<TargetSlot> {
         if self.runs > 0 {
             return None;
@@ -55,7 +55,7 @@
         first.map(|(slot, _)| *slot)
     }
 
-    /// Takes an offer in. Some where its answer is passed on.
+    /// Records the result of an attempt. Returns the reply to forward if no further attempt is needed.
     fn record(
         &mut self,
         attempt: AttemptResult,
@@ -141,7 +141,7 @@
     final_reply(relay, incoming, &attempts, deadline_ms)
 }
 
-/// Offers a request to one target after another, until there is an answer that is passed on.
+/// Attempts a request at one target after another until there is a reply to forward.
 async fn attempt_all(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -160,7 +160,7 @@
     None
 }
 
-/// Offers a request to a target with a rate limit, once there is a token for it, as long as its answer can be in time.
+/// Waits for a rate token of a target and attempts the request there, as long as the answer can meet its goal.
 async fn wait_for_token(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -193,7 +193,7 @@
     attempts.record(attempt, relay, incoming, resolved, slot)
 }
 
-/// The next target to offer a request to; none where there is none, or no time or budget is left.
+/// The next target to attempt; none if there is no other, the deadline has passed or the retry budget is spent.
 pub(super) fn next_target(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -226,7 +226,7 @@
     Some(slot)
 }
 
-/// What a request asks for.
+/// The properties of a request by which its target is chosen.
 pub(super) fn target_query<'a>(relay: &Relay, resolved: &'a ResolvedRoute) -> TargetQuery<'a> {
     TargetQuery {
         service: &resolved.service().name,
--- a/components/relay/src/forwarding/call_stats.rs
+++ b/components/relay/src/forwarding/call_stats.rs
@@ -1,4 +1,4 @@
-//! What calls show of targets and routes, noted for the calls after them and told to other boxes.
+//! Records the results of calls in the statistics of targets and routes, and sends hints about targets to other boxes.
 
 use crate::forwarding::balance::route_key;
 use crate::state::Relay;
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Relay {
-    /// Notes an answer and how long it took.
+    /// Records an answer and its latency.
     pub(crate) fn record_call_answer(
         &self,
         slot: TargetSlot,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes that a target has not answered for so long, while another did.
+    /// Records that a target had not answered after `waited_ms` when the hedge had.
     pub(crate) fn record_hedge_loss(&self, slot: TargetSlot, route: &Route, waited_ms: u64) {
         let mut balance = self.balance.borrow_mut();
         let baseline_ms = balance
@@ -54,28 +54,28 @@
         }
     }
 
-    /// Notes that a call got no answer, and tells others.
+    /// Records that a call got no answer, and sends a hint about it to other boxes.
     pub(crate) fn record_no_answer(self: &Rc<Self>, slot: TargetSlot) {
         self.apply_hint(slot, self.id, HintWord::NoAnswer);
         self.tell_hint(slot, HintWord::NoAnswer);
     }
 
-    /// Notes how slow a target says that it is, and tells others where that is news.
+    /// Records the slowness that a target reports, and sends it to other boxes if it changed.
     pub(crate) fn record_slowness(self: &Rc<Self>, slot: TargetSlot, percent: u32) {
         let now_ms = self.now_ms();
-        let known = |stats: &TargetStats| stats.slowness;
+        let slowness = |stats: &TargetStats| stats.slowness;
         let previous = self
             .balance
             .borrow()
             .stats(slot)
-            .map_or_else(Default::default, known);
+            .map_or_else(Default::default, slowness);
         self.apply_hint(slot, self.id, HintWord::Slowness(percent));
         if previous.is_change(percent, now_ms) {
             self.tell_hint(slot, HintWord::Slowness(percent));
         }
     }
 
-    /// Takes a word on a target in, this box's own or another's.
+    /// Applies a hint about a target, from this box or another.
     pub(crate) fn apply_hint(&self, slot: TargetSlot, from: BoxId, hint: HintWord) {
         let now_ms = self.now_ms();
         let mut balance = self.balance.borrow_mut();
@@ -85,9 +85,9 @@
         match hint {
             HintWord::Slowness(percent) => stats.slowness.update(percent, 0, now_ms),
             HintWord::NoAnswer | HintWord::TurnedAway => {
-                let previous = stats.suspicion.is_deprioritized(now_ms);
+                let was_deprioritized = stats.suspicion.is_deprioritized(now_ms);
                 stats.suspicion.record_no_answer(from.0.into(), now_ms);
-                if stats.suspicion.is_deprioritized(now_ms) && !previous {
+                if stats.suspicion.is_deprioritized(now_ms) && !was_deprioritized {
                     slog::info!(self.log, "target spared: boxes got no answer, or were turned away";
                         "target" => self.name_of(slot), "from" => from.0);
                 }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether a route's calls fail everywhere, so that a failure says nothing of the target.
+    /// Whether a route's calls fail at all targets, so that a failure is no evidence against one of them.
     pub(crate) fn fails_everywhere(&self, route: &Route) -> bool {
         let fails_everywhere = self
             .balance
@@ -106,7 +106,7 @@
         fails_everywhere && self.file().has(Mechanism::CallBalance)
     }
 
-    /// The usual time of a route's calls, where it is known.
+    /// The baseline latency (ms) of a route over all targets, if known.
     pub(crate) fn baseline_ms(&self, route: &Route) -> Option<f64> {
         self.balance
             .borrow_mut()
@@ -120,7 +120,7 @@
         targets.get(slot).map_or(0, |target| target.open)
     }
 
-    /// Notes that a target refused a call as full.
+    /// Records that a target refused a call as full, which lowers its concurrency limit.
     pub(crate) fn record_call_refusal(&self, slot: TargetSlot) {
         let open = self.open_requests_at(slot);
         if !self.file().has(Mechanism::CallLimits) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// How long one target is waited for alone.
+    /// How long (ms) to wait for one target before a hedged request.
     pub(crate) fn hedge_delay_for(&self, route: &Route) -> u64 {
         let baseline_ms = self
             .baseline_ms(route)
--- a/components/relay/src/forwarding/capacity_wait.rs
+++ b/components/relay/src/forwarding/capacity_wait.rs
@@ -1,5 +1,5 @@
-//! A call whose targets are all full waits in the box, as long as its answer can still be in time: a refusal would send
-//! its caller away for longer than a call takes.
+//! Delays a call whose targets are all full, as long as its answer can still meet its goal. A refusal would make the
+//! caller wait for longer than a call takes.
 
 use crate::forwarding::call::target_query;
 use crate::ingress::request::{IncomingRequest, ResolvedRoute};
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Usual times of the route that are left of the goal when the wait ends, for the target to answer.
+/// Multiple of the route's baseline latency that is reserved for the target to answer before the goal.
 const RESERVED_BASELINES: f64 = 2.0;
-/// How often a call looks for room though no call of this box ended: other boxes' calls end too.
+/// Polling interval while no call of this box ends: calls of other boxes also free capacity.
 const POLL_INTERVAL_MS: u64 = 25;
 
-/// Until when a call may wait, so that it is answered by its goal.
+/// The latest end of a wait after which a call can still be answered by its goal. Without a baseline, half of the goal is
+/// reserved.
 fn latest_wait_end_ms(goal_ms: u64, baseline_ms: Option<f64>, arrived_ms: u64) -> u64 {
     let reserved_ms = baseline_ms.map_or(goal_ms as f64 / 2.0, |baseline_ms| {
         RESERVED_BASELINES * baseline_ms
@@ -22,7 +23,7 @@
     arrived_ms + (goal_ms as f64 - reserved_ms).max(0.0) as u64
 }
 
-/// Until when a call may wait here.
+/// Until when a call may wait on this box, at most its deadline.
 pub(super) fn wait_deadline_ms(
     relay: &Relay,
     incoming: &IncomingRequest,
@@ -34,8 +35,8 @@
     deadline_ms.min(incoming.deadline_ms(route))
 }
 
-/// Waits for a moment where all targets that a call was offered to hold as many bytes of requests as they may. False where
-/// it may not wait on.
+/// Waits until a call ends or for one polling interval, if all attempted targets are at their limit of request bytes.
+/// Returns false if the call may not wait any longer.
 pub(super) async fn wait_for_byte_capacity(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -50,13 +51,13 @@
     }
     let call_ended = relay.calls_ended.notified();
     let wait = Duration::from_millis(left_ms.min(POLL_INTERVAL_MS));
-    // Whichever comes first, room or not is seen by the next offer.
+    // The next attempt checks for capacity, whatever ended the wait.
     let _ = timeout(wait, call_ended).await;
     true
 }
 
-/// Waits while all targets of a call are full. After that it is offered to one of them all the same: whether it is
-/// refused is the target's word.
+/// Waits while all targets of a call are full. The call is attempted afterwards in any case, and the target decides
+/// whether to refuse it.
 pub(super) async fn wait_for_capacity(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -84,7 +85,7 @@
         )
         .await;
         if !relay.all_targets_full(&target_query(relay, resolved)) {
-            // The next one in the queue may find room as well.
+            // The next waiting call may find capacity as well.
             relay.calls_ended.notify_one();
             break;
         }
--- a/components/relay/src/forwarding/control.rs
+++ b/components/relay/src/forwarding/control.rs
@@ -1,4 +1,4 @@
-//! Control calls to engines: reports, copies.
+//! Control requests to engines, for reports and for copies of generations.
 
 use crate::state::Relay;
 use bytes::Bytes;
@@ -6,12 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time for a channel to an engine for control.
+/// Timeout for opening a control channel to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for one call. A copy waits for others on its links; an engine that leaves is gone by then.
+/// Timeout of one control request. A copy may wait for other copies on its links, but a leaving engine is gone after
+/// this time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// One control call to an engine; none where it gave no answer.
+/// Sends a control request to an engine. Returns status and body, or none if there was no response.
 pub(crate) async fn send_control_request(
     relay: &Relay,
     address: SocketAddr,
@@ -21,7 +22,7 @@
     let mut channel = match channel {
         Ok(channel) => channel,
         Err(error) => {
-            slog::info!(relay.log, "engine not reached for control"; "address" => %address,
+            slog::info!(relay.log, "connecting to engine for a control request failed"; "address" => %address,
                 "error" => %error);
             return None;
         }
@@ -29,7 +30,7 @@
     match exchange(&mut channel, request, RESPONSE_TIMEOUT).await {
         Ok(answer) => Some((answer.status, answer.body)),
         Err(error) => {
-            slog::info!(relay.log, "no answer to a control call"; "address" => %address,
+            slog::info!(relay.log, "no response to a control request"; "address" => %address,
                 "error" => %error);
             None
         }
--- a/components/relay/src/forwarding/events.rs
+++ b/components/relay/src/forwarding/events.rs
@@ -1,40 +1,40 @@
-//! The events of a stream, passed on whole: an event that a target breaks off reaches no caller.
+//! Splits a server-sent event stream into complete events, so that no caller receives a truncated event.
 
 use thiserror::Error;
 
-/// The longest event that is passed on.
+/// Maximum size of an event.
 const EVENT_BYTES_MAX: usize = 256 * 1024;
 
-/// Why a stream cannot be passed on.
+/// Why a stream cannot be forwarded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EventError {
-    /// An event does not end.
+    /// An event exceeds the maximum size.
     #[error("an event is longer than {EVENT_BYTES_MAX} bytes")]
     TooLong,
 }
 
-/// Cuts bytes into events.
+/// Splits bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
 }
 
-/// Whole events, as they came.
+/// Complete events, byte for byte as received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes.
+    /// The bytes of the events.
     pub bytes: Vec<u8>,
-    /// The id of the last of them that has one.
+    /// The id of the last event that has one.
     pub last_id: Option<Box<str>>,
-    /// How many they are.
+    /// Number of events.
     pub count: u32,
 }
 
 impl EventSplitter {
-    /// Takes bytes in, and gives out the events that are now whole.
+    /// Adds received bytes and returns the events that are now complete.
     ///
     /// # Errors
-    /// [`EventError::TooLong`].
+    /// [`EventError::TooLong`] if the incomplete event exceeds the maximum size.
     pub fn push(&mut self, data: &[u8]) -> Result<Events, EventError> {
         let already_searched = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(data);
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Bytes of an event that has begun and is not whole.
+    /// Number of buffered bytes of an incomplete event.
     pub fn pending_bytes(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether an event has begun that is not whole.
+    /// Whether an event is incomplete.
     pub fn is_within_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-/// Where the event ends whose empty line begins at `from` or later.
+/// The end of the event whose terminating empty line starts at `from` or later.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut search_from = from;
     while let Some(newline) = bytes
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -1,5 +1,5 @@
-//! Generations: a permit, one engine, and events passed on as they come. A generation whose engine leaves
-//! goes on at another (see [`crate::migration::mover`]).
+//! Serves generations: acquires a permit, starts the generation at one engine and streams its events to the caller. A
+//! generation whose engine leaves resumes at another (see [`crate::migration::mover`]).
 
 use crate::dispatch::dispatcher::refusal;
 use crate::dispatch::permits::{Permit, Want};
@@ -31,20 +31,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// Engines that one generation is offered to, those that refuse it counted.
+/// Maximum number of engines attempted for one generation, including those that refuse it.
 const MAX_ATTEMPTS: usize = 3;
-/// What the way of a first token takes, from its engine to the caller, and of a request to its engine: so much earlier it
-/// is due at the engine.
+/// Network time of a request to its engine plus that of the first token to the caller. The first token is due at the
+/// engine this much before its goal.
 const TRANSIT_MS: u64 = 40;
-/// A caller's guess is rounded to this many steps for each doubling.
+/// Number of length classes per doubling of a caller's length hint.
 const LENGTH_CLASSES_PER_DOUBLING: f64 = 2.0;
-/// The longest guess that is told from longer ones, in such steps.
+/// The last length class, which includes all longer hints.
 const MAX_LENGTH_CLASS: u8 = 31;
-/// Ranks that are told apart; less urgent ones count as the last.
+/// Number of distinguished ranks; less urgent ranks count as the last.
 const RANK_COUNT: u8 = 7;
-/// An engine that has not begun to answer after this time is doubted: three times what half of them take.
+/// An engine that has not started to answer after this time is suspected: three times the median start time.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The kind of generations without a guess; their ranks count down from here.
+/// The kind of generations without a length hint; ranks count down from here.
 const UNKNOWN_LENGTH_KIND: u8 = 255;
 
 /// Serves a generation.
@@ -101,7 +101,7 @@
     write_reply(relay, caller, incoming.id(), reply, false).await
 }
 
-/// Passes an answer on that is no stream.
+/// Forwards a response that is not an event stream.
 async fn forward_response(
     relay: &Rc<Relay>,
     caller: &mut Channel,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Which generations have answers of like length: those of like rank and guess.
+/// The kind of a generation, by rank and length hint. Answers of one kind have similar lengths.
 fn length_kind(guess_tokens: Option<u32>, rank: u8) -> u8 {
     let Some(hint) = guess_tokens else {
         return UNKNOWN_LENGTH_KIND - rank.min(RANK_COUNT);
@@ -167,7 +167,7 @@
     class.min(MAX_LENGTH_CLASS) * RANK_COUNT + rank.min(RANK_COUNT - 1)
 }
 
-/// Gets a permit and has an engine begin.
+/// Acquires a permit and starts the generation at its engine, with retries at other engines.
 async fn start_generation(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -222,13 +222,13 @@
         let until = Instant::now() + Duration::from_millis(due_ms.saturating_sub(now_ms));
         let slot = permit.slot;
         if !relay.takes_work(slot) {
-            // The dispatcher has not heard yet that it leaves.
+            // The dispatcher does not know yet that the engine is leaving.
             failed_engine = relay.id_of(slot);
             tell_current(relay);
             continue;
         }
         if let Some(local) = relay.withheld(incoming) {
-            // It became known while it waited for its permit.
+            // The request was quarantined while it waited for its permit.
             return StartResult::LocalReply(local);
         }
         let granted_ms = relay.now_ms();
@@ -261,7 +261,7 @@
             SendResult::NotRun(why) => {
                 failed_engine = relay.id_of(slot);
                 reached_target |= why.reached_target();
-                slog::info!(relay.log, "engine did not take it"; "id" => incoming.id(),
+                slog::info!(relay.log, "engine did not run the generation"; "id" => incoming.id(),
                     "engine" => relay.name_of(slot), "why" => ?why);
                 if let NotRun::Refused { retry_after_ms } = why {
                     last_refusal.retry_after_ms = retry_after_ms.or(last_refusal.retry_after_ms);
@@ -272,7 +272,7 @@
     StartResult::LocalReply(not_run_reply(last_refusal))
 }
 
-/// Waits for an engine. One that says nothing for `limit` is told to the dispatcher, once.
+/// Waits for an engine. If it is silent for `limit`, reports it to the dispatcher once and continues to wait.
 async fn report_if_silent<T>(
     relay: &Rc<Relay>,
     permit: &Permit,
@@ -290,10 +290,10 @@
     waiting.await
 }
 
-/// What a try says of its engine.
+/// The outcome of a send for its engine.
 pub(crate) fn outcome_of(result: &SendResult) -> TargetOutcome {
     match result {
-        // Whoever fails at once is the emptiest, and would draw all that comes.
+        // An engine that fails at once looks idle and would attract all new requests.
         SendResult::Answered(response) if response.head.status >= 500 => TargetOutcome::Failure,
         SendResult::Answered(_) => TargetOutcome::Success,
         SendResult::NotRun(why) => TargetOutcome::from(*why),
@@ -302,8 +302,8 @@
 }
 
 impl Relay {
-    /// The engines of a service that a generation is not to be placed on: one that failed it, and those that asked this box
-    /// for a pause.
+    /// The engines on which a generation must not be placed: the one that failed it, and those that asked this box to back
+    /// off.
     fn engines_to_avoid(&self, service: &str, failed_engine: Option<TargetId>) -> Avoided {
         let backing_off = self
             .targets
@@ -313,8 +313,8 @@
         failed_engine.into_iter().chain(backing_off).collect()
     }
 
-    /// Where all engines of a service that take work asked this box for pauses which last beyond a time: when the first is over,
-    /// from now.
+    /// The time (ms) until the first backoff ends, if all engines of a service that accept work asked this box to back off
+    /// until after `until_ms`.
     fn first_backoff_end_ms(&self, service: &str, until_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms();
         let mut targets = self.targets.borrow_mut();
@@ -323,10 +323,10 @@
             return None;
         }
         let mut ready = targets.of_service(service);
-        let takes = |target: &Target| {
+        let accepts = |target: &Target| {
             targets.takes_work(target) && target.backoff.remaining_ms(now_ms).is_none()
         };
-        if ready.any(|(_, target)| takes(target)) {
+        if ready.any(|(_, target)| accepts(target)) {
             return None;
         }
         let first_ms = backing_off.into_iter().map(|(_, left_ms)| left_ms).min();
@@ -334,7 +334,7 @@
     }
 }
 
-/// Sends a generation to an engine, from its start or where it goes on.
+/// Sends a generation to an engine, to start it or to resume it from a copy.
 pub(crate) async fn send_generation(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
--- a/components/relay/src/forwarding/hedge.rs
+++ b/components/relay/src/forwarding/hedge.rs
@@ -1,4 +1,4 @@
-//! A call that is late at its target and may run twice: a second target is tried beside the first.
+//! Hedged requests: a repeatable call that is late at its target is also sent to a second target.
 
 use crate::forwarding::admission::SendKind;
 use crate::forwarding::attempt::{AttemptResult, admit_and_attempt, attempt, new_token_request};
@@ -16,7 +16,8 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// One offer; where it is late and the request may run twice, a second one beside it. The first good answer counts.
+/// Attempts a request at a target. If no answer arrives within the hedge delay and the request may run twice, a second
+/// target is attempted concurrently. The first successful answer wins.
 pub(super) async fn attempt_with_hedge(
     relay: &Rc<Relay>,
     incoming: &IncomingRequest,
@@ -55,7 +56,7 @@
     if let Ok(attempt) = timeout(hedge_delay, first.as_mut()).await {
         return attempt.recorded(relay, incoming, resolved, slot);
     }
-    // The first may run, and got the request: the second is counted as one.
+    // The first target received the request and may run it, so the hedge counts as a retry.
     attempts.runs += 1;
     attempts.sends += 1;
     let deadline_ms = incoming.deadline_ms(route);
@@ -109,8 +110,8 @@
     metrics::counter!("shuntpier_calls_tried_beside", "won" => winner).increment(1);
 }
 
-/// Notes that a target had not answered when a later try had. It counts as failed only after the longest time
-/// for which any target is waited for alone.
+/// Records a target that had not answered when the hedge had. It counts as failed only after the longest hedge delay
+/// of the route.
 fn record_unanswered_first(relay: &Rc<Relay>, route: &Route, slot: TargetSlot, waited_ms: u64) {
     relay.record_hedge_loss(slot, route, waited_ms);
     let has_failed = waited_ms >= hedge_delay_ms(route.answer_goal_ms, None);
@@ -123,7 +124,7 @@
     );
 }
 
-/// Of two offers that are over, the one that says more to the caller.
+/// The result that is more useful to the caller: a success, then an answer, then a failure.
 fn better_of(one: AttemptResult, other: AttemptResult) -> AttemptResult {
     let rank = |attempt: &AttemptResult| match attempt {
         AttemptResult::Answered(reply) => 1 + u8::from(reply.status < 500),
--- a/components/relay/src/forwarding/mod.rs
+++ b/components/relay/src/forwarding/mod.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to a target, and answers on their way back.
+//! Forwards requests to targets and their responses back to callers.
 
 pub(crate) mod admission;
 pub(crate) mod announcements;
--- a/components/relay/src/forwarding/outcome.rs
+++ b/components/relay/src/forwarding/outcome.rs
@@ -1,4 +1,4 @@
-//! What a try says of its target, for the requests that come after it.
+//! Records the outcome of sends at their targets, and answers basic questions about a target.
 
 use crate::forwarding::send::NotRun;
 use crate::membership::gossip::tell_current;
@@ -8,20 +8,20 @@
 use settings::Mechanism;
 use std::rc::Rc;
 
-/// What a target showed of itself.
+/// What one send or poll shows about its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TargetOutcome {
-    /// It answered as it was to.
+    /// It answered correctly.
     Success,
-    /// It is full, and says so.
+    /// It refused the request as full.
     Full,
-    /// This life is over, or works for others.
+    /// This incarnation has ended, or another target listens at its address.
     Gone,
-    /// It says itself that it leaves.
+    /// It announced that it is leaving.
     Leaving,
-    /// It failed.
+    /// It failed or could not be reached.
     Failure,
-    /// Nothing: it was not sent the request.
+    /// No evidence, for example because the request was not sent.
     Unknown,
 }
 
@@ -41,14 +41,14 @@
 }
 
 impl NotRun {
-    /// Whether the target got the request: such sends count against the budget of second ones.
+    /// Whether the target received the request. A further attempt then takes from the retry budget.
     pub(crate) fn reached_target(self) -> bool {
         matches!(self, Self::Refused { .. } | Self::Misdirected)
     }
 }
 
 impl Relay {
-    /// Notes what a target showed of itself. That it left is told to all boxes.
+    /// Records an outcome of a target. If the target turns out to be leaving, all boxes are notified.
     pub(crate) fn record_outcome(self: &Rc<Self>, slot: TargetSlot, outcome: TargetOutcome) {
         let now_ms = self.now_ms();
         let mut targets = self.targets.borrow_mut();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether this box believes that a target takes new work.
+    /// Whether a target accepts new work, as far as this box knows.
     pub(crate) fn takes_work(&self, slot: TargetSlot) -> bool {
         let targets = self.targets.borrow();
         targets
@@ -102,7 +102,7 @@
             .is_some_and(|target| targets.takes_work(target))
     }
 
-    /// Whether a life is over as far as this box knows: it is not listed, or another has begun under its name.
+    /// Whether an incarnation has ended as far as this box knows: it is not listed, or another started under its name.
     pub(crate) fn is_gone(&self, slot: TargetSlot) -> bool {
         let targets = self.targets.borrow();
         targets
@@ -110,7 +110,7 @@
             .is_none_or(|target| target.belief == Belief::Gone)
     }
 
-    /// The name of a target's life; none where it is forgotten.
+    /// The instance name of a target's incarnation; none if this box no longer tracks it.
     pub(crate) fn instance_of(&self, slot: TargetSlot) -> Option<Box<str>> {
         let targets = self.targets.borrow();
         targets
@@ -118,12 +118,12 @@
             .map(|target| target.entry.instance.clone())
     }
 
-    /// A target's key in the policies; none where it is forgotten.
+    /// A target's id; none if this box no longer tracks it.
     pub(crate) fn id_of(&self, slot: TargetSlot) -> Option<TargetId> {
         self.targets.borrow().get(slot).map(|target| target.id)
     }
 
-    /// The name of a target's life, for logs.
+    /// The instance name of a target for logs; empty if this box no longer tracks it.
     pub(crate) fn name_of(&self, slot: TargetSlot) -> String {
         self.instance_of(slot).unwrap_or_default().into()
     }
--- a/components/relay/src/forwarding/pauses.rs
+++ b/components/relay/src/forwarding/pauses.rs
@@ -1,13 +1,13 @@
-//! The pauses between the events of one stream: how long the longest was, and where it passed.
+//! Measures the pauses between the events of one stream: the longest one and its cause.
 
-/// Where a pause between two events passed.
+/// What caused a pause between two events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PauseCause {
-    /// At the engine, or on the way from it.
+    /// The engine, or the network path from it.
     Engine,
-    /// The caller did not read, and there was no room for more.
+    /// The caller did not read, and the buffer for it was full.
     Caller,
-    /// The generation moved to another engine.
+    /// The move of the generation to another engine.
     Move,
 }
 
@@ -17,7 +17,7 @@
     longest_ms: u64,
     longest_cause: PauseCause,
     last_event_ms: Option<u64>,
-    /// Where the time since the last event passes.
+    /// The cause of the pause that is in progress.
     next_cause: PauseCause,
 }
 
@@ -31,12 +31,13 @@
         }
     }
 
-    /// Notes where the pause until the next event passes; at the engine, where nothing else is said.
+    /// Sets the cause of the pause before the next event. The default is the engine.
     pub fn set_next_cause(&mut self, cause: PauseCause) {
         self.next_cause = cause;
     }
 
-    /// Notes events that came at a time. Says how long the pause before them was and where it passed; nothing before the first.
+    /// Records events that arrived at `now_ms`. Returns the length (ms) and cause of the pause before them; none for the
+    /// first events.
     pub fn record_events(&mut self, now_ms: u64) -> Option<(u64, PauseCause)> {
         let last_event_ms = self.last_event_ms.replace(now_ms)?;
         let pause_ms = now_ms.saturating_sub(last_event_ms);
@@ -48,12 +49,12 @@
         Some((pause_ms, cause))
     }
 
-    /// How long the longest was; 0 where there was none.
+    /// Length (ms) of the longest pause; 0 if there was none.
     pub fn longest_ms(&self) -> u64 {
         self.longest_ms
     }
 
-    /// Where the longest passed.
+    /// Cause of the longest pause.
     pub fn longest_cause(&self) -> PauseCause {
         self.longest_cause
     }
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -1,5 +1,5 @@
-//! One try at one target, and the one place that says whether it ran: not run (the target's own word, no
-//! channel, nothing written), answered, or it may have run.
+//! Sends one request to one target, and is the only place that decides whether it ran: not run (the target said so, no
+//! channel could be opened, or nothing was written), answered, or possibly run.
 
 use crate::forwarding::admission::Admission;
 use crate::held::Held;
@@ -11,69 +11,69 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a new channel. The opening packet is sent again after a second where it was dropped.
+/// Timeout for opening a channel. TCP retransmits a lost SYN only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Bodies up to this size travel in one write with their head.
+/// Bodies up to this size are written together with their head.
 const MAX_JOINED_BYTES: usize = 32 * 1024;
-/// The longest plain answer that is held to be checked whole.
+/// Maximum size of a response that is buffered whole.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// What is said of an answer that this box can't hold: no fault of its target.
+/// Failure text of a response that exceeds the buffer limits of this box. The target is not at fault.
 pub(crate) const ANSWER_TOO_LONG: &str = "the answer is too long to be held";
-/// Answers to other requests that are passed over on one channel.
+/// Maximum number of responses to other requests that are skipped on one channel.
 const MAX_STRAY_RESPONSES: usize = 3;
 
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotRun {
-    /// No channel, or nothing could be written.
+    /// No channel could be opened, or nothing could be written.
     Unreachable,
-    /// Nothing listens there: this life is over.
+    /// Nothing listens at the address: this incarnation of the target has ended.
     ConnectionRefused,
-    /// The target said so.
+    /// The target refused the request.
     Refused { retry_after_ms: Option<u64> },
-    /// Another target listens there.
+    /// Another target listens at the address.
     Misdirected,
-    /// It holds as many bytes of requests as this box may have there: it was not sent.
+    /// Not sent: this box's requests at the target reach their byte limit.
     ByteLimit,
-    /// Operators evacuated its data centre: it was not sent.
+    /// Not sent: operators evacuated the target's data centre.
     Evacuated,
-    /// The target leaves, or is gone: it was not sent.
+    /// Not sent: the target is leaving or gone.
     Leaving,
-    /// The target asked this box for a pause: it was not sent.
+    /// Not sent: the target asked this box to back off.
     BackingOff {
-        /// When that is over, from now.
+        /// Time until the backoff ends.
         retry_after_ms: u64,
     },
-    /// The target's rate limit leaves no room for it: it was not sent.
+    /// Not sent: the target's rate limit is exhausted.
     RateLimited {
-        /// When it does, from now.
+        /// Time until a rate token is expected.
         retry_after_ms: u64,
     },
 }
 
-/// What became of one try.
+/// Result of sending a request.
 pub(crate) enum SendResult {
-    /// It was not run, and will not be.
+    /// The request did not run and will not.
     NotRun(NotRun),
-    /// Nobody can say.
+    /// The request may have run. The text says what failed.
     MayHaveRun(&'static str),
-    /// The target answers.
+    /// The target answered; the body is not read yet.
     Answered(Box<OpenResponse>),
 }
 
-/// An answer that has begun.
+/// A response whose head has been read.
 pub(crate) struct OpenResponse {
     pub channel: Channel,
     pub head: ResponseHead,
     pub metadata: ResponseMetadata,
     decoder: Decoder,
     framing: Framing,
-    /// The request was written whole, so that the channel may be used again.
+    /// The request was written completely, so that the channel may be reused.
     is_request_complete: bool,
     open_request: OpenRequest,
 }
 
-/// Counts a request at a target while it lives.
+/// Counts a request as open at a target until it is dropped.
 pub(crate) struct OpenRequest {
     relay: Rc<Relay>,
     slot: TargetSlot,
@@ -104,35 +104,36 @@
     }
 }
 
-/// How long a channel may have rested for a request that cannot be repeated. A target may drop a channel that rests
-/// without a word, some 0.3 s after its last answer and later; what is then sent on it may have run.
+/// Maximum idle time of a channel that is reused for a request that cannot be repeated. A target may drop an idle channel
+/// without notice from about 0.3 s after its last response; a request sent on it then may have run.
 pub(crate) const UNREPEATABLE_MAX_IDLE_MS: u64 = 200;
 
-/// What is sent.
+/// A request as it is sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutgoingRequest<'a> {
     pub request_id: &'a str,
     pub head: &'a [u8],
     pub body: &'a Bytes,
-    /// The answer has no body, whatever its head says.
+    /// The response has no body, whatever its head says, as for HEAD.
     pub has_no_body: bool,
-    /// How long the channel may have rested.
+    /// Maximum idle time of a reused channel.
     pub max_idle_ms: u64,
 }
 
-/// Whether one more request may be held at a target. One may always: else a long one would never run.
-fn has_byte_capacity(memory: u64, more: u64, share: u64) -> bool {
-    memory == 0 || memory.saturating_add(more) <= share
+/// Whether one more request fits into this box's share of a target's byte limit. The first always does; otherwise a large
+/// request would never run.
+fn has_byte_capacity(in_use: u64, more: u64, share: u64) -> bool {
+    in_use == 0 || in_use.saturating_add(more) <= share
 }
 
 impl Relay {
-    /// Whether this box may have so many more bytes of requests at a target: the bound holds for all boxes together.
+    /// Whether this box may send `more` bytes to a target. The limit is shared equally among the boxes.
     fn has_byte_capacity(&self, slot: TargetSlot, more: u64) -> bool {
         let max_bytes = self.file().limits.target_request_bytes();
         let share = max_bytes / self.members.borrow().budget_share() as u64;
         let targets = self.targets.borrow();
-        let memory = targets.get(slot).map_or(0, |target| target.open_bytes);
-        has_byte_capacity(memory, more, share)
+        let in_use = targets.get(slot).map_or(0, |target| target.open_bytes);
+        has_byte_capacity(in_use, more, share)
     }
 
     async fn channel_to(&self, slot: TargetSlot, max_idle_ms: u64) -> Result<Channel, NotRun> {
@@ -149,7 +150,7 @@
         Channel::connect(address, CONNECT_TIMEOUT)
             .await
             .map_err(|error| {
-                slog::info!(self.log, "no channel to target"; "address" => %address,
+                slog::info!(self.log, "connecting to target failed"; "address" => %address,
                     "error" => %error);
                 match error.kind() {
                     std::io::ErrorKind::ConnectionRefused => NotRun::ConnectionRefused,
@@ -158,7 +159,7 @@
             })
     }
 
-    /// Sends an admitted request to its target and reads the head of its answer.
+    /// Sends an admitted request to its target and reads the head of the response.
     pub(crate) async fn send_request(
         self: &Rc<Self>,
         admission: &Admission,
@@ -168,7 +169,7 @@
         let bytes = (request.head.len() + request.body.len()) as u64;
         if !self.has_byte_capacity(slot, bytes) {
             metrics::counter!("shuntpier_target_requests_withheld").increment(1);
-            slog::debug!(self.log, "target holds enough"; "id" => request.request_id,
+            slog::debug!(self.log, "target is at its limit of request bytes"; "id" => request.request_id,
                 "target" => self.name_of(slot), "bytes" => bytes);
             return SendResult::NotRun(NotRun::ByteLimit);
         }
@@ -217,7 +218,7 @@
         };
         if response.metadata.is_not_run {
             let retry_after_ms = response.metadata.retry_after_ms.value();
-            // The short body is read so that the channel can be used again; its loss changes nothing.
+            // The short body is read only to make the channel reusable, so errors are ignored.
             let mut memory = Held::new(&self.held, None);
             let _ = response.read_body(&mut memory).await;
             response.recycle_channel(self);
@@ -254,8 +255,8 @@
     }
 }
 
-/// Reads answers until one is to this request. An earlier one on the channel belongs to a request that is
-/// over; nobody gets it.
+/// Reads response heads until one belongs to this request. Earlier responses on the channel belong to requests that have
+/// ended and are discarded.
 async fn read_matching_head(
     channel: &mut Channel,
     request: OutgoingRequest<'_>,
@@ -272,8 +273,8 @@
         };
         let id = metadata.request_id.as_deref();
         let is_ours = id == Some(request.request_id);
-        let says_not_run = metadata.is_not_run && id.is_none();
-        if is_ours || says_not_run {
+        let is_unidentified_refusal = metadata.is_not_run && id.is_none();
+        if is_ours || is_unidentified_refusal {
             return Ok((head, metadata, framing));
         }
         metrics::counter!("shuntpier_stray_answers").increment(1);
@@ -296,7 +297,7 @@
     Err("too many answers to other requests")
 }
 
-/// Counts more of an answer, once there is room.
+/// Reserves memory for `more` bytes of a response, waiting until it is available.
 async fn reserve(memory: &mut Held, more: u64) -> Result<(), &'static str> {
     let bytes = memory.bytes() + more;
     if bytes > MAX_RESPONSE_BYTES as u64 || !memory.could_hold(bytes) {
@@ -330,10 +331,10 @@
         }
     }
 
-    /// The whole body, counted. While there is no room for it, the target is not read.
+    /// Buffers the whole body. While no memory is available, the channel is not read.
     pub(crate) async fn read_body(&mut self, memory: &mut Held) -> Result<Bytes, &'static str> {
         if let Framing::Length(length) = self.framing {
-            // Asked for whole: two that have halves would wait for each other.
+            // The whole length is reserved at once: two responses that each hold half of their memory would deadlock.
             reserve(memory, length).await?;
         }
         let Some(first) = self.next_reserved(0, memory).await? else {
@@ -350,7 +351,7 @@
         Ok(body.into())
     }
 
-    /// The next bytes of a body of which so many were read, counted.
+    /// The next bytes of a body of which `read` bytes were read, with memory reserved for them.
     async fn next_reserved(
         &mut self,
         read: usize,
@@ -364,19 +365,19 @@
         Ok(Some(more))
     }
 
-    /// How slow the target says that work is there.
+    /// The slowness that the target reports, in percent.
     pub(crate) fn slowness_percent(&self) -> Option<u32> {
         self.metadata.load?.slowness_percent
     }
 
-    /// Whether the target vouches for the answer: a success carries its signature and no coding.
+    /// Whether the target signed the response and applied no content encoding.
     pub(crate) fn is_verified(&self) -> bool {
         let is_encoded = self.head.headers.first("content-encoding").is_some();
         self.metadata.is_signed && !is_encoded
     }
 
-    /// Lets the channel rest for the next request, where that is safe: bytes beyond the answer belong to
-    /// no request.
+    /// Keeps the channel for reuse if that is safe: the request was written completely, the target does not close the
+    /// channel, and no bytes follow the response.
     pub(crate) fn recycle_channel(self, relay: &Relay) {
         let is_reusable =
             self.is_request_complete && !self.head.closes && self.channel.buffer.is_empty();
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -1,4 +1,4 @@
-//! Passes the events of one generation on as they come, from one engine after another.
+//! Forwards the events of one generation to its caller, across moves between engines.
 
 use crate::dispatch::completion::CompletionSample;
 use crate::dispatch::permits::Permit;
@@ -24,16 +24,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Whether only the end of its channel ends an answer.
+/// Whether the response body is delimited only by the close of its channel.
 fn is_unframed(response: &OpenResponse) -> bool {
     response.head.framing == Framing::UntilClose
 }
 
-/// An engine that makes no event for this long in the middle of a stream is doubted: many times the pace of a full
-/// one.
+/// An engine that sends no event for this long within a stream is suspected. This is many times the event interval of a
+/// fully loaded engine.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Passes the events of one generation on.
+/// Forwards the events of one generation to its caller.
 pub(crate) struct StreamForwarder<'a> {
     relay: &'a Rc<Relay>,
     incoming: &'a IncomingRequest,
@@ -48,9 +48,9 @@
     first_event_ms: Option<u64>,
     pauses: Pauses,
     moves: u32,
-    /// When its engine began, as this box saw it: with the head of its answer.
+    /// When this box received the response head of the current engine.
     started_ms: u64,
-    /// Its engine was not read for a while, as the caller did not read.
+    /// The current engine's stream was not read for a while because the caller did not read.
     caller_blocked_reads: bool,
 }
 
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Gives the engine's place back, and what is left to be written.
+    /// Releases the permit, and returns the events that are not yet written.
     fn into_unsent(self) -> (&'a Rc<Relay>, &'a IncomingRequest, Unsent) {
         (self.relay, self.incoming, self.unsent)
     }
 
-    /// Remembers how long the generation was and took, for those that come while this box stops.
+    /// Records the length and duration of the generation for the completion estimate of a stopping box.
     fn record_completion(&self) {
         let generation = self.incoming.facts.generation.as_ref();
         let ended = CompletionSample {
@@ -141,14 +141,14 @@
         self.relay.completion.borrow_mut().ended(ended);
     }
 
-    /// Whether the first event came after the route's goal.
+    /// Whether the first event was later than the route's answer goal.
     fn exceeds_answer_goal(&self) -> bool {
         let goal_ms = self.resolved.route().answer_goal_ms;
         self.first_event_ms
             .is_some_and(|first_ms| first_ms > goal_ms)
     }
 
-    /// Whether a pause was longer than the route's goal allows.
+    /// Whether a pause was longer than the route's pause goal.
     fn exceeds_pause_goal(&self) -> bool {
         let goal_ms = self.resolved.route().pause_goal_ms;
         goal_ms.is_some_and(|goal_ms| self.pauses.longest_ms() > goal_ms)
@@ -182,7 +182,7 @@
             let wants_write = !self.unsent.is_empty();
             let wants_read = self.unsent.may_read();
             if wants_read && !was_reading {
-                // It was not read meanwhile, and could say nothing.
+                // The engine was not read in the meantime, so its silence does not count.
                 silent_at = Instant::now() + SILENCE_TIMEOUT;
                 self.pauses.set_next_cause(PauseCause::Caller);
             }
@@ -235,12 +235,12 @@
                         None
                     }
                     Err(why) if mover.stops_source() => {
-                        slog::debug!(self.relay.log, "source closed"; "why" => why);
+                        slog::debug!(self.relay.log, "source stream closed during a move"; "why" => why);
                         mover.source_ended();
                         None
                     }
                     Err(_) if self.caller_blocked_reads => {
-                        // Not the engine's fault: nothing is told of it.
+                        // The caller stalled the stream, so no engine fault is reported.
                         return StreamEnd::Broken("its caller did not read, and its engine cut it off");
                     }
                     Err(why) => {
@@ -271,14 +271,14 @@
             .tell_engine_failed(permit.pool, permit.slot, fault);
     }
 
-    /// Notes that the generation did not come to its end at its engine.
+    /// Records that the generation broke off at its engine.
     fn record_break(&self, kind: Break) {
         let slot = self.permit.slot;
         self.relay
             .run_broke(self.incoming.key, slot, self.started_ms, kind);
     }
 
-    /// Whether a stream that came to its end is whole.
+    /// Checks that a stream that ended is complete.
     fn finish_stream(&mut self, response: OpenResponse) -> StreamEnd {
         if self.splitter.is_within_event() {
             self.record_break(Break::Closed);
@@ -340,13 +340,13 @@
         written.map_err(|_| StreamEnd::CallerLeft)
     }
 
-    /// Has the generation go on where its copy lies.
+    /// Resumes the generation from its copy at the target of the move, or else at the source.
     async fn resume_at(
         &mut self,
         from: Moved,
         deadline: Instant,
     ) -> Result<OpenResponse, StreamEnd> {
-        // What was cut off with the source's stream comes again from the copy.
+        // An event truncated at the end of the source's stream is sent again from the copy.
         self.splitter = EventSplitter::default();
         let continuation = Continuation {
             source: from.source,
@@ -376,7 +376,7 @@
                     if response.head.status == 200 && response.is_verified() =>
                 {
                     self.permit.slot = slot;
-                    // What the former stream was held up by says nothing of this one.
+                    // The flag concerns the previous engine's stream only.
                     self.caller_blocked_reads = false;
                     match slot == from.to {
                         true => from.free_source(self.relay),
--- a/components/relay/src/forwarding/stream_end.rs
+++ b/components/relay/src/forwarding/stream_end.rs
@@ -1,4 +1,4 @@
-//! How a stream ended, and what its caller still gets of it.
+//! How a stream ended, and the delivery of its buffered events to the caller.
 
 use crate::held::deliver::Delivered;
 use crate::held::unsent::Unsent;
@@ -7,23 +7,23 @@
 use crate::state::Relay;
 use http1::Channel;
 
-/// How a stream ended at its engine.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamEnd {
-    /// With its last event.
+    /// The engine sent the last event.
     Whole,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The caller did not read.
+    /// The caller stopped reading.
     Unread,
-    /// Its time is over.
+    /// The caller's deadline passed.
     TimeOver,
-    /// Early.
+    /// The stream broke off.
     Broken(&'static str),
 }
 
 impl StreamEnd {
-    /// For counters.
+    /// The metric label of the outcome.
     pub(super) fn label(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -35,7 +35,7 @@
     }
 }
 
-/// Writes what is left of a whole stream, also after its time.
+/// Writes the remaining events of a complete stream to the caller, even after the deadline.
 pub(super) async fn deliver_remaining(
     relay: &Relay,
     incoming: &IncomingRequest,
@@ -61,14 +61,14 @@
     }
 }
 
-/// Writes the events that came before a stream broke off; its end is not written.
+/// Writes the events received before a stream broke off, without the end of the stream.
 pub(super) async fn deliver_partial(
     relay: &Relay,
     incoming: &IncomingRequest,
     unsent: Unsent,
     caller: &mut Channel,
 ) -> ChannelAction {
-    // Whatever becomes of them, the channel closes without the end of the stream.
+    // Whether or not they are delivered, the channel closes without the terminating chunk.
     let _ = unsent.drain(relay, caller, incoming.id()).await;
     ChannelAction::Drop
 }
