--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -3,7 +3,7 @@
 use crate::dispatch::engine_polls::{run_engine_polls, run_probes};
 use crate::held::Holdings;
 use crate::ingress::accept;
-use crate::ingress::overrun::run_overrun;
+use crate::ingress::overload::run_overload_monitor;
 use crate::ingress::readiness;
 use crate::membership::exchange::{announce_self, run_exchanges};
 use crate::membership::gossip::Handler;
@@ -181,7 +181,7 @@
     spawn_local(run_settings(relay.clone()));
     spawn_local(run_evacuation(relay.clone()));
     spawn_local(run_sweeps(relay.clone()));
-    spawn_local(run_overrun(relay.clone()));
+    spawn_local(run_overload_monitor(relay.clone()));
     slog::info!(relay.log, "box started"; "callers" => %relay.identity.callers_address,
         "peers" => %peers_address, "store" => %relay.settings().store.address,
         "life" => relay.incarnation);
@@ -192,7 +192,7 @@
     loop {
         sleep(SWEEP_INTERVAL).await;
         let now_ms = relay.now_ms();
-        relay.channels.borrow_mut().sweep(now_ms);
+        relay.channels.borrow_mut().close_expired(now_ms);
         relay.sweep_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -3,8 +3,8 @@
 use crate::dispatch::completion::CompletionEstimator;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::open_generations::OpenGenerations;
-use crate::forwarding::balance::CallBalance;
-use crate::forwarding::channels::Channels;
+use crate::forwarding::balance::CallBalancer;
+use crate::forwarding::idle_channels::IdleChannels;
 use crate::held::{Bounds, Holdings};
 use crate::ingress::request::LocalReply;
 use crate::membership::compression::compress;
@@ -70,11 +70,11 @@
     pub(crate) refused_entries: RefCell<RefusedEntries>,
     /// Incremented with each change of targets or declarations that can affect waiting requests.
     pub(crate) target_changes: watch::Sender<u64>,
-    pub(crate) channels: RefCell<Channels>,
+    pub(crate) channels: RefCell<IdleChannels>,
     /// Budget of memory for buffered requests and answers of slow readers.
     pub(crate) memory: Rc<Holdings>,
     /// Statistics of calls to plain targets.
-    pub(crate) balance: RefCell<CallBalance>,
+    pub(crate) balance: RefCell<CallBalancer>,
     /// Notified when a request at a target ends, as a waiting call may then be sent.
     pub(crate) calls_ended: Notify,
     /// Rate limits of targets.
@@ -203,7 +203,7 @@
     /// Returns true if this box accepts new channels: it knows declarations and targets, and is neither stopping nor shedding
     /// load.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.is_synced() && !self.stands_back()
+        !self.is_stopping() && self.is_synced() && !self.is_shedding_load()
     }
 
     pub(crate) fn card(&self) -> FleetCard {
--- a/components/relay/src/view.rs
+++ b/components/relay/src/view.rs
@@ -1,6 +1,6 @@
 //! Builds the view of a box that operators are status.
 
-use crate::forwarding::balance::{CallBalance, route_key};
+use crate::forwarding::balance::{CallBalancer, route_key};
 use crate::state::{Relay, pool_of};
 use crate::watch::targets::TargetSlot;
 use crate::watch::targets::{Target, TargetRegistry, TargetState};
@@ -92,11 +92,11 @@
 
     fn calls_view(
         &self,
-        balance: &CallBalance,
+        balance: &CallBalancer,
         slot: TargetSlot,
         target: &Target,
     ) -> Option<TargetCallsView> {
-        let stats = balance.known(slot)?;
+        let stats = balance.stats(slot)?;
         let now_ms = self.now_ms();
         Some(TargetCallsView {
             pace_share: stats.latency.ratio(now_ms),
--- a/components/relay/src/watch/changes.rs
+++ b/components/relay/src/watch/changes.rs
@@ -40,7 +40,7 @@
                 if !matches!(change, Change::Leaving(_)) {
                     self.handle_unannounced_end(ended);
                 }
-                self.channels.borrow_mut().close(ended);
+                self.channels.borrow_mut().close_target(ended);
                 self.targets.borrow_mut().remove_if_idle(ended);
             }
         }
