--- a/components/relay/src/dispatch/engine_polls.rs
+++ b/components/relay/src/dispatch/engine_polls.rs
@@ -2,7 +2,7 @@
 //! on engines is known without it, and each poll has a cost.
 
 use crate::dispatch::poll_round::{POLLED_MAX, PollRound};
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::forwarding::outcome::TargetOutcome;
 use crate::state::Relay;
 use crate::watch::election::{View, another_box_polls, is_elected, rank};
@@ -150,7 +150,7 @@
 
 async fn poll_engine(relay: Rc<Relay>, slot: TargetSlot, address: SocketAddr) {
     metrics::counter!("shuntpier_engine_reports").increment(1);
-    let answer = control(&relay, address, &report_request(address)).await;
+    let answer = send_control_request(&relay, address, &report_request(address)).await;
     let report = answer.and_then(|(status, body)| parse_report(status, &body));
     let now_ms = relay.now_ms();
     if report.is_some()
@@ -161,6 +161,6 @@
     if let Some(report) = report.filter(|report| report.is_leaving) {
         slog::info!(relay.log, "engine reports that it leaves"; "engine" => relay.name_of(slot),
             "gone_in_ms" => report.leaves_in_ms, "running" => report.running);
-        relay.record_outcome(slot, TargetOutcome::Leaves);
+        relay.record_outcome(slot, TargetOutcome::Leaving);
     }
 }
--- a/components/relay/src/forwarding/attempt.rs
+++ b/components/relay/src/forwarding/attempt.rs
@@ -100,7 +100,7 @@
             _ => UNREPEATABLE_MAX_IDLE_MS,
         },
     };
-    let mut memory = Held::new(&relay.held, Some(resolved.account_id()));
+    let mut memory = Held::new(&relay.memory, Some(resolved.account_id()));
     let sending = attempt_response(relay, admission, request, &mut memory);
     let attempt = timeout(Duration::from_millis(timeout_ms), sending).await;
     let mut attempt = attempt.unwrap_or(AttemptResult::MayHaveRun(NO_ANSWER_IN_TIME));
--- a/components/relay/src/forwarding/call_stats.rs
+++ b/components/relay/src/forwarding/call_stats.rs
@@ -57,7 +57,7 @@
     /// Records that a call got no answer, and sends a hint about it to other boxes.
     pub(crate) fn record_no_answer(self: &Rc<Self>, slot: TargetSlot) {
         self.apply_hint(slot, self.id, HintWord::NoAnswer);
-        self.tell_hint(slot, HintWord::NoAnswer);
+        self.broadcast_hint(slot, HintWord::NoAnswer);
     }
 
     /// Records the slowness that a target reports, and sends it to other boxes if it changed.
@@ -71,7 +71,7 @@
             .map_or_else(Default::default, slowness);
         self.apply_hint(slot, self.id, HintWord::Slowness(percent));
         if previous.is_change(percent, now_ms) {
-            self.tell_hint(slot, HintWord::Slowness(percent));
+            self.broadcast_hint(slot, HintWord::Slowness(percent));
         }
     }
 
@@ -103,7 +103,7 @@
             .route_stats_mut(route_key(route))
             .failures
             .is_common();
-        fails_everywhere && self.file().has(Mechanism::CallBalance)
+        fails_everywhere && self.settings().has(Mechanism::CallBalance)
     }
 
     /// The baseline latency (ms) of a route over all targets, if known.
@@ -123,7 +123,7 @@
     /// Records that a target refused a call as full, which lowers its concurrency limit.
     pub(crate) fn record_call_refusal(&self, slot: TargetSlot) {
         let open = self.open_requests_at(slot);
-        if !self.file().has(Mechanism::CallLimits) {
+        if !self.settings().has(Mechanism::CallLimits) {
             return;
         }
         let now_ms = self.now_ms();
@@ -138,7 +138,7 @@
     pub(crate) fn hedge_delay_for(&self, route: &Route) -> u64 {
         let baseline_ms = self
             .baseline_ms(route)
-            .filter(|_| self.file().has(Mechanism::SecondBeside));
+            .filter(|_| self.settings().has(Mechanism::SecondBeside));
         hedge_delay_ms(route.answer_goal_ms, baseline_ms)
     }
 }
--- a/components/relay/src/forwarding/capacity_wait.rs
+++ b/components/relay/src/forwarding/capacity_wait.rs
@@ -63,7 +63,7 @@
     incoming: &IncomingRequest,
     resolved: &ResolvedRoute,
 ) {
-    if !relay.file().has(Mechanism::CallLimits)
+    if !relay.settings().has(Mechanism::CallLimits)
         || !relay.all_targets_full(&target_query(relay, resolved))
     {
         return;
--- a/components/relay/src/ingress/overload.rs
+++ b/components/relay/src/ingress/overload.rs
@@ -2,7 +2,7 @@
 //! [`crate::membership::stand_back`]). It still serves the requests that it has accepted.
 
 use crate::ingress::lag::{LagMeter, is_late};
-use crate::membership::stand_back::holds_until_ms;
+use crate::membership::load_shedding::shedding_until_ms;
 use crate::state::Relay;
 use settings::Mechanism;
 use std::ops::RangeInclusive;
@@ -37,7 +37,7 @@
         let late_ms = due.elapsed().as_millis() as u64;
         metrics::histogram!("shuntpier_loop_late_ms").record(late_ms as f64);
         was_late = is_late(late_ms);
-        let overloaded = meter.record_wake(late_ms) && relay.file().has(Mechanism::StandBack);
+        let overloaded = meter.record_wake(late_ms) && relay.settings().has(Mechanism::StandBack);
         let now_ms = relay.now_ms();
         if overloaded != was_overloaded {
             slog::info!(relay.log, "box overrun"; "overrun" => overloaded,
@@ -46,18 +46,18 @@
             was_overloaded = overloaded;
         }
         if !overloaded {
-            relay.stands_back_until_ms.set(0);
+            relay.sheds_load_until_ms.set(0);
         } else if now_ms >= next_request_ms && !relay.is_stopping() {
             next_request_ms = now_ms + PERMISSION_INTERVAL_MS;
             let requester = relay.clone();
-            tokio::task::spawn_local(async move { requester.request_load_shedding(now_ms).await });
+            tokio::task::spawn_local(async move { requester.try_shed_load(now_ms).await });
         }
     }
 }
 
 impl Relay {
-    async fn request_load_shedding(self: &Rc<Self>, requested_ms: u64) {
-        let allowed = self.asks_to_stand_back().await;
+    async fn try_shed_load(self: &Rc<Self>, requested_ms: u64) {
+        let allowed = self.request_load_shedding().await;
         let outcome = match allowed {
             true => "allowed",
             false => "denied",
@@ -65,15 +65,15 @@
         metrics::counter!("shuntpier_stand_backs", "outcome" => outcome).increment(1);
         slog::info!(self.log, "box stands back"; "allowed" => allowed);
         let until_ms = match allowed {
-            true => holds_until_ms(requested_ms),
+            true => shedding_until_ms(requested_ms),
             false => 0,
         };
-        self.stands_back_until_ms.set(until_ms);
+        self.sheds_load_until_ms.set(until_ms);
     }
 
     /// Whether this box currently accepts no new channels because it is overloaded and other boxes are not.
     pub(crate) fn is_shedding_load(&self) -> bool {
-        self.now_ms() < self.stands_back_until_ms.get()
+        self.now_ms() < self.sheds_load_until_ms.get()
     }
 
     /// Whether to close a caller's channel after a response, so that the caller moves to another box.
--- a/components/relay/src/membership/load_shedding.rs
+++ b/components/relay/src/membership/load_shedding.rs
@@ -49,7 +49,7 @@
 impl Relay {
     /// Answers an overloaded box, which may be this one, as coordinator.
     pub(crate) fn grant_load_shedding(&self, from: BoxId) -> bool {
-        if from != self.id && self.stands_back() {
+        if from != self.id && self.is_shedding_load() {
             // If the role moved, two coordinators could together let all boxes shed load.
             return false;
         }
--- a/components/relay/src/migration/migrated_copy.rs
+++ b/components/relay/src/migration/migrated_copy.rs
@@ -1,6 +1,6 @@
 //! The KV cache copy of a migrating generation, from its transfer until the generation resumes or the copy is freed.
 
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::state::Relay;
 use crate::watch::targets::{TargetSlot, TargetState};
 use platform::drop_copy_request;
@@ -51,6 +51,6 @@
     metrics::counter!("shuntpier_copies_freed").increment(1);
     let (relay, call) = (relay.clone(), drop_copy_request(holder, copy));
     tokio::task::spawn_local(async move {
-        control(&relay, holder, &call).await;
+        send_control_request(&relay, holder, &call).await;
     });
 }
--- a/components/relay/src/migration/migrator.rs
+++ b/components/relay/src/migration/migrator.rs
@@ -2,7 +2,7 @@
 //! stop with a copy of what was added since, then resumption at the other engine. The dispatcher chooses that engine.
 
 use crate::dispatch::permits::Permit;
-use crate::forwarding::control::control;
+use crate::forwarding::control::send_control_request;
 use crate::migration::migrated_copy::{MigratedCopy, free_copy};
 use crate::state::Relay;
 use crate::watch::targets::{TargetSlot, TargetState};
@@ -298,7 +298,7 @@
             }
         };
         let copied_ms = relay.now_ms();
-        if relay.is_over(target) {
+        if relay.is_gone(target) {
             // The copy is lost with the engine process that held it: stopping the generation now would end it.
             free_copy(relay, target_address, &first_copy);
             return Next::Retry("the engine is gone", target_id);
@@ -365,7 +365,7 @@
             return CopyReply::NoRoom { kept: None };
         };
         let call = copy_request(self.source_address, &self.id, target_address, is_final);
-        let reply = control(relay, self.source_address, &call).await;
+        let reply = send_control_request(relay, self.source_address, &call).await;
         reply.map_or(CopyReply::Unknown { status: 0 }, |(status, body)| {
             parse_copy_reply(status, &body)
         })
