--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -188,7 +188,7 @@
     if now_ms >= due_ms || attempts.offered.len() >= OFFERS_MAX {
         return None;
     }
-    if attempts.runs > 0 && (!may_run_again || relay.withheld(incoming).is_some()) {
+    if attempts.runs > 0 && (!may_run_again || relay.withheld_reply(incoming).is_some()) {
         return None;
     }
     let service = &way.service().name;
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -13,7 +13,7 @@
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::ingress::stopping::refusal_of_stopping;
 use crate::membership::gossip::broadcast_digest;
-use crate::quarantine::broken::Break;
+use crate::quarantine::broken::RunFailure;
 use crate::state::Relay;
 use crate::watch::targets::{Target, TargetSlot};
 use http1::Channel;
@@ -213,7 +213,7 @@
             broadcast_digest(relay);
             continue;
         }
-        if let Some(own) = relay.withheld(incoming) {
+        if let Some(own) = relay.withheld_reply(incoming) {
             // It became known while it waited for its permit.
             return Started::LocalReply(own);
         }
@@ -221,7 +221,7 @@
         let trying = send(relay, incoming, way, slot, None, SendKind::Generation);
         let watched = with_doubt(relay, &permit, SILENT_START_LIMIT, trying);
         let Ok(tried) = timeout_at(until, watched).await else {
-            relay.run_broke(incoming.key, slot, granted_ms, Break::Silent);
+            relay.record_broken_run(incoming.key, slot, granted_ms, RunFailure::Silent);
             return Started::LocalReply(LocalReply::TimeOver);
         };
         relay.record_outcome(slot, outcome_of(&tried));
@@ -241,7 +241,12 @@
                 return Started::Opened(opened, permit);
             }
             Tried::MayHaveRun(why) => {
-                relay.run_broke(incoming.key, slot, granted_ms, Break::Closed);
+                relay.record_broken_run(
+                    incoming.key,
+                    slot,
+                    granted_ms,
+                    RunFailure::ConnectionClosed,
+                );
                 return Started::LocalReply(LocalReply::MayHaveRun(why));
             }
             Tried::NotRun(why) => {
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -7,7 +7,7 @@
 };
 use crate::held::Held;
 use crate::ingress::request::{Incoming, Reply, Way};
-use crate::quarantine::broken::Break;
+use crate::quarantine::broken::RunFailure;
 use crate::rate_limit::token::TokenAsk;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -105,14 +105,14 @@
     }
     if let Offer::MayHaveRun(why) = offer {
         let how = match why == NO_ANSWER_IN_TIME {
-            true => Break::Silent,
-            false => Break::Closed,
+            true => RunFailure::Silent,
+            false => RunFailure::ConnectionClosed,
         };
-        relay.run_broke(incoming.key, slot, began_ms, how);
+        relay.record_broken_run(incoming.key, slot, began_ms, how);
     }
     if let Offer::Answered(reply) = &mut offer {
         if reply.status < 500 {
-            relay.served(incoming.key);
+            relay.record_served_request(incoming.key);
         }
         reply.held = Some(Rc::new(held));
         let took_ms = relay.now_ms() - began_ms;
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -14,7 +14,7 @@
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::migration::migrated_copy::MigratedCopy;
 use crate::migration::migrator::{MigrationStep, Migrator};
-use crate::quarantine::broken::Break;
+use crate::quarantine::broken::RunFailure;
 use crate::state::Relay;
 use http1::{Channel, Framing, push_chunk};
 use peers::EngineFault;
@@ -87,7 +87,7 @@
         let finished = ended == Ended::Whole;
         if finished {
             self.permit.mark_finished();
-            self.relay.served(self.incoming.key);
+            self.relay.record_served_request(self.incoming.key);
             self.note_end();
         }
         slog::info!(self.relay.log, "generation ended"; "id" => self.incoming.id(), "request" => %self.incoming.key,
@@ -192,7 +192,7 @@
                 }
                 () = sleep_until(due) => {
                     if doubted {
-                        self.broke(Break::Silent);
+                        self.broke(RunFailure::Silent);
                     }
                     return Ended::TimeOver;
                 }
@@ -235,7 +235,7 @@
                     }
                     Err(why) => {
                         self.tell_engine(EngineFault::Broke);
-                        self.broke(Break::Closed);
+                        self.broke(RunFailure::ConnectionClosed);
                         return Ended::Broken(why);
                     }
                 },
@@ -262,20 +262,20 @@
     }
 
     /// Notes that the generation did not come to its end at its engine.
-    fn broke(&self, how: Break) {
+    fn broke(&self, how: RunFailure) {
         let slot = self.permit.slot;
         self.relay
-            .run_broke(self.incoming.key, slot, self.began_ms, how);
+            .record_broken_run(self.incoming.key, slot, self.began_ms, how);
     }
 
     /// Whether a stream that came to its end is whole.
     fn whole(&mut self, opened: Opened) -> Ended {
         if self.splitter.is_within_event() {
-            self.broke(Break::Closed);
+            self.broke(RunFailure::ConnectionClosed);
             return Ended::Broken("the stream ended within an event");
         }
         if self.events == 0 {
-            self.broke(Break::Closed);
+            self.broke(RunFailure::ConnectionClosed);
             return Ended::Broken("the stream ended without an event");
         }
         opened.finish(self.relay);
@@ -379,7 +379,8 @@
                 Tried::Answered(_) => break,
                 Tried::MayHaveRun(_) => {
                     let key = self.incoming.key;
-                    self.relay.run_broke(key, slot, sent_ms, Break::Closed);
+                    self.relay
+                        .record_broken_run(key, slot, sent_ms, RunFailure::ConnectionClosed);
                     break;
                 }
                 Tried::NotRun(why) => {
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -201,7 +201,7 @@
 }
 
 async fn answer(relay: &Rc<Relay>, channel: &mut Channel, incoming: &Incoming, way: &Way) -> After {
-    if let Some(own) = relay.withheld(incoming) {
+    if let Some(own) = relay.withheld_reply(incoming) {
         count(own.status(), "own");
         let reply = Reply::own(own, incoming.facts.request_id.as_deref());
         return write_reply(relay, channel, incoming.id(), reply, false).await;
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -368,7 +368,7 @@
     }
 
     async fn ends(&self, report: EndsTold) -> EndsTold {
-        self.0.on_ends(report)
+        self.0.handle_crash_report(report)
     }
 
     async fn rate_token(&self, request: RateTokenRequest) -> RateTokenReply {
--- a/components/relay/src/quarantine/broken.rs
+++ b/components/relay/src/quarantine/broken.rs
@@ -21,9 +21,9 @@
 
 /// How a run ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Break {
+pub(crate) enum RunFailure {
     /// Its channel ended.
-    Closed,
+    ConnectionClosed,
     /// Nothing came any more.
     Silent,
 }
@@ -50,13 +50,13 @@
 
 impl BrokenRuns {
     /// Notes a run that broke off. Says whether the target is to be checked.
-    fn broke(&mut self, target: TargetId, run: BrokenRun, how: Break) -> bool {
+    fn broke(&mut self, target: TargetId, run: BrokenRun, how: RunFailure) -> bool {
         self.sweep(run.at_ms);
         let at = self.0.entry(target).or_default();
         if at.runs.len() < RUNS_MAX {
             at.runs.push(run);
         }
-        how == Break::Closed && !std::mem::replace(&mut at.is_checked, true)
+        how == RunFailure::ConnectionClosed && !std::mem::replace(&mut at.is_checked, true)
     }
 
     /// Notes that a target still listens: the next run that breaks off there has it checked again.
@@ -89,12 +89,12 @@
 
 impl Relay {
     /// Notes that a run broke off at a target, where it had begun at a time, and finds out whether the target has ended.
-    pub(crate) fn run_broke(
+    pub(crate) fn record_broken_run(
         self: &Rc<Self>,
         request: RequestKey,
         slot: TargetSlot,
         began_ms: u64,
-        how: Break,
+        how: RunFailure,
     ) {
         let now_ms = self.now_ms();
         let (target, address) = {
@@ -118,7 +118,7 @@
     }
 
     /// Notes that a target's life is over, without its having said that it leaves.
-    pub(crate) fn ended_unannounced(self: &Rc<Self>, target: TargetId, name: &str) {
+    pub(crate) fn record_unannounced_end(self: &Rc<Self>, target: TargetId, name: &str) {
         let now_ms = self.now_ms();
         let ends = self.broken_runs.borrow_mut().ended(target, now_ms);
         self.ended_under(name, &ends);
@@ -136,7 +136,7 @@
     slog::info!(relay.log, "target checked after a run broke off"; "target" => &name,
         "ended" => has_ended, "error" => error.map(|error| error.to_string()));
     match has_ended {
-        true => relay.ended_unannounced(target, &name),
+        true => relay.record_unannounced_end(target, &name),
         false => relay.broken_runs.borrow_mut().listens(target),
     }
 }
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -139,7 +139,7 @@
     }
 
     /// Has the store keep again what it lost: all that is withheld.
-    pub(crate) fn keep_records_again(self: &Rc<Self>) {
+    pub(crate) fn rewrite_records(self: &Rc<Self>) {
         let withheld = self.quarantine.borrow().withheld_requests(self.now_ms());
         for row in withheld {
             tokio::task::spawn_local(write_record(self.clone(), row.request));
--- a/components/relay/src/quarantine/spread.rs
+++ b/components/relay/src/quarantine/spread.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes another box's word in, passes it on, and answers with what it may not know.
-    pub(crate) fn on_ends(self: &Rc<Self>, mut told: EndsTold) -> EndsTold {
+    pub(crate) fn handle_crash_report(self: &Rc<Self>, mut told: EndsTold) -> EndsTold {
         for id in std::mem::take(&mut told.pass_on) {
             tokio::task::spawn_local(tell_group(self.clone(), told.clone(), vec![id]));
         }
--- a/components/relay/src/quarantine/withhold.rs
+++ b/components/relay/src/quarantine/withhold.rs
@@ -11,7 +11,7 @@
 impl Relay {
     /// The answer to a request under which too many targets ended; none where it may be sent on. It stands before each send, not
     /// each try: second sends and tries beside the first end targets too.
-    pub(crate) fn withheld(&self, incoming: &Incoming) -> Option<LocalReply> {
+    pub(crate) fn withheld_reply(&self, incoming: &Incoming) -> Option<LocalReply> {
         let is_on = self.settings().has(Mechanism::Quarantine);
         let withholds = self
             .quarantine
@@ -27,7 +27,7 @@
     }
 
     /// Notes that a request was answered well: targets survive it.
-    pub(crate) fn served(self: &Rc<Self>, request: RequestKey) {
+    pub(crate) fn record_served_request(self: &Rc<Self>, request: RequestKey) {
         let now_ms = self.now_ms();
         let ends = self.quarantine.borrow().crashes_of(request, now_ms).len();
         let acquittal = self.quarantine.borrow_mut().record_answer(request, now_ms);
--- a/components/relay/src/watch/changes.rs
+++ b/components/relay/src/watch/changes.rs
@@ -58,7 +58,7 @@
             unannounced.map(|target| (target.id, target.entry.instance.clone()))
         };
         if let Some((target, name)) = incarnation {
-            self.ended_unannounced(target, &name);
+            self.record_unannounced_end(target, &name);
         }
     }
 }
--- a/components/relay/src/watch/era.rs
+++ b/components/relay/src/watch/era.rs
@@ -142,7 +142,7 @@
 async fn rewrite_records(relay: Rc<Relay>) {
     sleep(REWRITE_WINDOW.mul_f64(rand::random())).await;
     relay.follow_started.notify_one();
-    relay.keep_records_again();
+    relay.rewrite_records();
 }
 
 /// Observes eras in answers to all calls of the store, for the lifetime of the box.
