--- a/components/relay/src/forwarding/admission.rs
+++ b/components/relay/src/forwarding/admission.rs
@@ -2,7 +2,7 @@
 //! at the moment of sending.
 
 use crate::forwarding::send::NotRun;
-use crate::rate_limit::token::TokenAsk;
+use crate::rate_limit::token::TokenRequest;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SendKind {
     /// A plain call.
-    Call(TokenAsk),
+    Call(TokenRequest),
     /// A generation whose dispatcher placed it on the target, within the target's rate limit.
     Generation,
     /// A running generation that goes on where it was placed.
@@ -57,7 +57,7 @@
         }
         if let SendKind::Call(ask) = kind {
             admission.is_counted = self.rate_limit_of(slot).is_some();
-            let token = self.take_rate_token(slot, &ask).await;
+            let token = self.acquire_rate_token(slot, &ask).await;
             token.map_err(|retry_after_ms| NotRun::Limited { retry_after_ms })?;
         }
         Ok(admission)
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -8,7 +8,7 @@
 use crate::held::Held;
 use crate::ingress::request::{Incoming, Reply, Way};
 use crate::quarantine::broken::RunFailure;
-use crate::rate_limit::token::TokenAsk;
+use crate::rate_limit::token::TokenRequest;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
@@ -34,8 +34,8 @@
 }
 
 /// The token that a request needs where its target has a rate limit.
-pub(super) fn token_ask(way: &Way, wait_ms: u64, is_last_try: bool) -> TokenAsk {
-    TokenAsk {
+pub(super) fn token_ask(way: &Way, wait_ms: u64, is_last_try: bool) -> TokenRequest {
+    TokenRequest {
         account: way.account_id(),
         rank: way.rank(),
         wait_ms,
@@ -50,7 +50,7 @@
     way: &Way,
     slot: TargetSlot,
     runs: u32,
-    ask: TokenAsk,
+    ask: TokenRequest,
 ) -> Offer {
     match relay.admit(slot, SendKind::Call(ask)).await {
         Ok(admission) => {
--- a/components/relay/src/membership/gossip.rs
+++ b/components/relay/src/membership/gossip.rs
@@ -6,7 +6,7 @@
 use crate::membership::exchange::fetch_from;
 use crate::membership::members::MemberUpdate;
 use crate::membership::missing::MissingData;
-use crate::rate_limit::announced::UNDER_WAY_MS;
+use crate::rate_limit::announced::TRANSIT_MAX_MS;
 use crate::state::{Declared, Relay};
 use crate::watch::election::View;
 use crate::watch::era::EraSource;
@@ -372,7 +372,7 @@
     }
 
     async fn rate_token(&self, request: RateTokenRequest) -> RateTokenReply {
-        self.0.observe_peer_rate(&request.rate, UNDER_WAY_MS);
+        self.0.observe_peer_rate(&request.rate, TRANSIT_MAX_MS);
         self.0.grant_rate_token(&request).await
     }
 }
--- a/components/relay/src/rate_limit/announced.rs
+++ b/components/relay/src/rate_limit/announced.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Longest time that a message of a peer is under way: so much earlier the answer that it is about may have been made.
-pub(crate) const UNDER_WAY_MS: u64 = 400;
+pub(crate) const TRANSIT_MAX_MS: u64 = 400;
 /// Limits that one message carries at the most.
 const SENT_MAX: usize = 32;
 
@@ -30,7 +30,7 @@
     /// Takes in what a peer knows of limits.
     pub(crate) fn observe_peer_rates(self: &Rc<Self>, rates: &[TargetRate]) {
         for rate in rates {
-            self.observe_peer_rate(rate, UNDER_WAY_MS);
+            self.observe_peer_rate(rate, TRANSIT_MAX_MS);
         }
     }
 
--- a/components/relay/src/rate_limit/coordinator.rs
+++ b/components/relay/src/rate_limit/coordinator.rs
@@ -200,7 +200,7 @@
     }
 
     /// Forgets the tokens of targets that have no limit any more, or are gone.
-    pub(crate) fn sweep_grants(&self) {
+    pub(crate) fn remove_stale_grants(&self) {
         let mut all = self.rate_limits.grants.borrow_mut();
         all.retain(|target, grants| {
             let slot = self.targets.borrow().slot_of(*target);
--- a/components/relay/src/rate_limit/token.rs
+++ b/components/relay/src/rate_limit/token.rs
@@ -15,7 +15,7 @@
 
 /// A call that needs a token.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TokenAsk {
+pub(crate) struct TokenRequest {
     /// Whose call it is.
     pub account: AccountId,
     /// 0 for the most urgent.
@@ -31,10 +31,10 @@
     ///
     /// # Errors
     /// When there may be one, from now.
-    pub(crate) async fn take_rate_token(
+    pub(crate) async fn acquire_rate_token(
         self: &Rc<Self>,
         slot: TargetSlot,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
     ) -> Result<(), u64> {
         let now_ms = self.now_ms();
         let Some(no_token_until_ms) = self.no_token_until_ms(slot, now_ms) else {
@@ -94,7 +94,7 @@
     async fn ask_coordinator(
         self: &Rc<Self>,
         slot: TargetSlot,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
     ) -> Option<RateTokenReply> {
         let coordinator = self.rate_coordinator(slot)?;
         let request = RateTokenRequest {
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -193,7 +193,7 @@
         sleep(SWEEP_INTERVAL).await;
         let now_ms = relay.now_ms();
         relay.channels.borrow_mut().sweep(now_ms);
-        relay.sweep_grants();
+        relay.remove_stale_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
         let (buffered_bytes, max_bytes) = relay.memory.fill();
