--- a/components/relay/src/held/deliver.rs
+++ b/components/relay/src/buffered/deliver.rs
@@ -1,6 +1,6 @@
 //! Writes to callers what is ready for them, late as well, and ends those that do not read.
 
-use crate::held::Held;
+use crate::buffered::BufferReservation;
 use crate::state::Relay;
 use http1::Channel;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 
 /// A caller that took nothing for this long is ended where a bound on memory is reached. Longer than the
 /// packets of a usual bad link are sent again for.
-const SILENCE_WHERE_SHORT: Duration = Duration::from_secs(5);
+const CONTENDED_STALL_LIMIT: Duration = Duration::from_secs(5);
 /// How often it is looked whether a caller is silent for too long.
-const LOOK_EACH: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What became of something that was written to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,40 +25,45 @@
 
 /// How long a caller has taken nothing.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Silence(Instant);
+pub(crate) struct StallTimer(Instant);
 
-impl Silence {
+impl StallTimer {
     /// It begins now.
-    pub(crate) fn begins() -> Self {
+    pub(crate) fn start() -> Self {
         Self(Instant::now())
     }
 
     /// When to look again.
-    pub(crate) fn look_at() -> Instant {
-        Instant::now() + LOOK_EACH
+    pub(crate) fn next_check_at() -> Instant {
+        Instant::now() + CHECK_INTERVAL
     }
 
     /// Whether the caller is to be ended; the log says why.
-    pub(crate) fn is_over(self, relay: &Relay, id: &str, held: &Held) -> bool {
-        let silent = self.0.elapsed();
+    pub(crate) fn is_expired(
+        self,
+        relay: &Relay,
+        id: &str,
+        reservation: &BufferReservation,
+    ) -> bool {
+        let stalled = self.0.elapsed();
         let limit = Duration::from_secs_f64(relay.settings().limits.unread_limit_s);
-        let why = match silent {
-            silent if silent >= limit => "limit",
-            silent if silent >= SILENCE_WHERE_SHORT && held.is_wanted() => "memory",
+        let reason = match stalled {
+            stalled if stalled >= limit => "limit",
+            stalled if stalled >= CONTENDED_STALL_LIMIT && reservation.is_contended() => "memory",
             _ => return false,
         };
-        let (box_bytes, most_bytes) = relay.memory.fill();
-        slog::warn!(relay.log, "caller does not read"; "id" => id, "why" => why,
-            "silent_ms" => silent.as_millis() as u64, "held_bytes" => held.bytes(),
-            "box_held_bytes" => box_bytes, "box_most_bytes" => most_bytes);
-        metrics::counter!("shuntpier_callers_unread", "why" => why).increment(1);
+        let (box_bytes, limit_bytes) = relay.memory.usage();
+        slog::warn!(relay.log, "caller does not read"; "id" => id, "why" => reason,
+            "silent_ms" => stalled.as_millis() as u64, "held_bytes" => reservation.bytes(),
+            "box_held_bytes" => box_bytes, "box_most_bytes" => limit_bytes);
+        metrics::counter!("shuntpier_callers_unread", "why" => reason).increment(1);
         true
     }
 }
 
 /// Waits until a caller may be written to, or, where nothing is to be written, until it is gone. False where it is gone.
-pub(crate) async fn ready(channel: &mut Channel, writes: bool) -> bool {
-    if writes {
+pub(crate) async fn wait_writable(channel: &mut Channel, has_output: bool) -> bool {
+    if has_output {
         return channel.writable().await.is_ok();
     }
     channel.gone().await;
@@ -71,16 +76,16 @@
     channel: &mut Channel,
     id: &str,
     mut bytes: &[u8],
-    held: &Held,
+    reservation: &BufferReservation,
 ) -> Delivered {
-    let mut silence = Silence::begins();
-    let mut look_at = Silence::look_at();
+    let mut stall_timer = StallTimer::start();
+    let mut next_check_at = StallTimer::next_check_at();
     loop {
         match channel.try_write(bytes) {
             Ok(0) => {}
             Ok(written) => {
                 bytes = &bytes[written..];
-                silence = Silence::begins();
+                stall_timer = StallTimer::start();
             }
             Err(_) => return Delivered::CallerLeft,
         }
@@ -93,11 +98,11 @@
                 Ok(()) => {}
                 Err(_) => return Delivered::CallerLeft,
             },
-            () = sleep_until(look_at) => {
-                if silence.is_over(relay, id, held) {
+            () = sleep_until(next_check_at) => {
+                if stall_timer.is_expired(relay, id, reservation) {
                     return Delivered::Unread;
                 }
-                look_at = Silence::look_at();
+                next_check_at = StallTimer::next_check_at();
             }
         }
     }
--- a/components/relay/src/held/mod.rs
+++ b/components/relay/src/buffered/mod.rs
@@ -1,10 +1,10 @@
 //! What the box keeps for callers and targets that read slowly: counted, bounded for the box and for each client account,
 //! and slowing its source.
 
-mod book;
 pub(crate) mod deliver;
-mod part;
+mod ledger;
+mod reservation;
 pub(crate) mod unsent;
 
-pub(crate) use book::Bounds;
-pub(crate) use part::{Held, Holdings};
+pub(crate) use ledger::BufferLimits;
+pub(crate) use reservation::{BufferBudget, BufferReservation};
--- a/components/relay/src/held/unsent.rs
+++ b/components/relay/src/buffered/unsent.rs
@@ -1,7 +1,7 @@
 //! Events of one stream that were read and that its caller has not taken.
 
-use crate::held::deliver::{Delivered, Silence, deliver};
-use crate::held::{Held, Holdings};
+use crate::buffered::deliver::{Delivered, StallTimer, deliver};
+use crate::buffered::{BufferBudget, BufferReservation};
 use crate::state::Relay;
 use bytes::{Buf, BytesMut};
 use http1::Channel;
@@ -11,27 +11,27 @@
 use tokio::time::Instant;
 
 /// What one read of an engine may bring.
-const PIECE_BYTES: u64 = 8 * 1024;
+const READ_BYTES_MAX: u64 = 8 * 1024;
 /// A buffer that grew larger than this is given back once it is empty.
-const KEPT_BYTES: usize = 16 * 1024;
+const RETAINED_CAPACITY_BYTES: usize = 16 * 1024;
 
 /// Events that wait for their caller.
 pub(crate) struct Unsent {
     bytes: BytesMut,
-    held: Held,
-    silence: Silence,
-    look_at: Instant,
-    most_bytes: usize,
+    reservation: BufferReservation,
+    stall_timer: StallTimer,
+    next_check_at: Instant,
+    peak_bytes: usize,
 }
 
 impl Unsent {
-    pub(crate) fn new(holdings: &Rc<Holdings>, account: AccountId) -> Self {
+    pub(crate) fn new(budget: &Rc<BufferBudget>, account: AccountId) -> Self {
         Self {
             bytes: BytesMut::new(),
-            held: Held::new(holdings, Some(account)),
-            silence: Silence::begins(),
-            look_at: Silence::look_at(),
-            most_bytes: 0,
+            reservation: BufferReservation::new(budget, Some(account)),
+            stall_timer: StallTimer::start(),
+            next_check_at: StallTimer::next_check_at(),
+            peak_bytes: 0,
         }
     }
 
@@ -40,36 +40,36 @@
     }
 
     /// The most that waited at once.
-    pub(crate) fn most_bytes(&self) -> usize {
-        self.most_bytes
+    pub(crate) fn peak_bytes(&self) -> usize {
+        self.peak_bytes
     }
 
     /// Whether more may be read of the engine. With nothing unsent always: so no stream waits for itself.
-    pub(crate) fn may_read(&self) -> bool {
-        self.is_empty() || self.held.may_take(PIECE_BYTES)
+    pub(crate) fn can_read(&self) -> bool {
+        self.is_empty() || self.reservation.check_room(READ_BYTES_MAX)
     }
 
     /// Waits until more may be read.
-    pub(crate) async fn freed(&self) {
-        self.held.freed().await;
+    pub(crate) async fn wait_for_room(&self) {
+        self.reservation.wait_for_room().await;
     }
 
     /// Takes bytes in, and counts them with the part of an event that is `pending`.
     pub(crate) fn push(&mut self, bytes: &[u8], pending: usize) {
         if self.is_empty() && !bytes.is_empty() {
-            self.silence = Silence::begins();
-            self.look_at = Silence::look_at();
+            self.stall_timer = StallTimer::start();
+            self.next_check_at = StallTimer::next_check_at();
         }
         self.bytes.extend_from_slice(bytes);
-        self.most_bytes = self.most_bytes.max(self.bytes.len());
-        self.count(pending);
+        self.peak_bytes = self.peak_bytes.max(self.bytes.len());
+        self.update_reservation(pending);
     }
 
-    fn count(&mut self, pending: usize) {
+    fn update_reservation(&mut self, pending: usize) {
         let bytes = (self.bytes.len() + pending) as u64;
-        match bytes.checked_sub(self.held.bytes()) {
-            Some(more) => self.held.take(more),
-            None => self.held.give(self.held.bytes() - bytes),
+        match bytes.checked_sub(self.reservation.bytes()) {
+            Some(additional) => self.reservation.add(additional),
+            None => self.reservation.release(self.reservation.bytes() - bytes),
         }
     }
 
@@ -84,31 +84,31 @@
                 return Ok(());
             }
             self.bytes.advance(written);
-            self.silence = Silence::begins();
-            self.count(pending);
+            self.stall_timer = StallTimer::start();
+            self.update_reservation(pending);
         }
-        if self.bytes.capacity() > KEPT_BYTES {
+        if self.bytes.capacity() > RETAINED_CAPACITY_BYTES {
             self.bytes = BytesMut::new();
         }
         Ok(())
     }
 
     /// When to look whether the caller still reads.
-    pub(crate) fn look_at(&self) -> Instant {
-        self.look_at
+    pub(crate) fn next_check_at(&self) -> Instant {
+        self.next_check_at
     }
 
     /// Whether the caller does not read and is to be ended.
-    pub(crate) fn is_over(&mut self, relay: &Relay, id: &str) -> bool {
-        self.look_at = Silence::look_at();
-        self.silence.is_over(relay, id, &self.held)
+    pub(crate) fn is_caller_stalled(&mut self, relay: &Relay, id: &str) -> bool {
+        self.next_check_at = StallTimer::next_check_at();
+        self.stall_timer.is_expired(relay, id, &self.reservation)
     }
 
     /// Writes the rest, for as long as the caller reads.
     pub(crate) async fn drain(self, relay: &Relay, caller: &mut Channel, id: &str) -> Delivered {
         match self.bytes.is_empty() {
             true => Delivered::Whole,
-            false => deliver(relay, caller, id, &self.bytes, &self.held).await,
+            false => deliver(relay, caller, id, &self.bytes, &self.reservation).await,
         }
     }
 }
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -1,6 +1,7 @@
 //! Generations: a permit, one engine, and events passed on as they come. A generation whose engine leaves
 //! goes on at another (see [`crate::migration::migrator`]).
 
+use crate::buffered::BufferReservation;
 use crate::dispatch::dispatcher::refusal;
 use crate::dispatch::permits::{Permit, PermitDemand};
 use crate::forwarding::admission::SendKind;
@@ -8,7 +9,6 @@
 use crate::forwarding::outcome::TargetOutcome;
 use crate::forwarding::send::{Message, NotRun, Opened, Tried, UNREPEATABLE_REST_MS};
 use crate::forwarding::stream::StreamForwarder;
-use crate::held::Held;
 use crate::ingress::accept::{After, count, write_reply};
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::ingress::stopping::refusal_of_stopping;
@@ -103,7 +103,7 @@
 ) -> After {
     let status = opened.head.status;
     let vouched = opened.is_vouched() && status != 200;
-    let mut held = Held::new(&relay.memory, Some(way.account_id()));
+    let mut held = BufferReservation::new(&relay.memory, Some(way.account_id()));
     let due_ms = incoming.due_ms(way.route());
     let left = Duration::from_millis(due_ms.saturating_sub(relay.now_ms()));
     let whole = timeout(left, opened.read_whole(&mut held)).await;
@@ -121,7 +121,7 @@
         }
         whole => {
             let own = match whole {
-                Err(_) if held.is_waiting() => {
+                Err(_) if held.is_blocked() => {
                     metrics::counter!("shuntpier_answers_without_memory").increment(1);
                     LocalReply::MayHaveRun(NO_MEMORY)
                 }
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -1,11 +1,11 @@
 //! One offer of a plain request to one target, its answer read whole.
 
+use crate::buffered::BufferReservation;
 use crate::forwarding::admission::{Admission, SendKind};
 use crate::forwarding::outcome::TargetOutcome;
 use crate::forwarding::send::{
     ANSWER_TOO_LONG, Message, NotRun, Opened, Tried, UNREPEATABLE_REST_MS,
 };
-use crate::held::Held;
 use crate::ingress::request::{Incoming, Reply, Way};
 use crate::quarantine::broken::RunFailure;
 use crate::rate_limit::token::TokenRequest;
@@ -95,11 +95,11 @@
             _ => UNREPEATABLE_REST_MS,
         },
     };
-    let mut held = Held::new(&relay.memory, Some(way.account_id()));
+    let mut held = BufferReservation::new(&relay.memory, Some(way.account_id()));
     let trying = try_whole(relay, admission, message, &mut held);
     let offer = timeout(Duration::from_millis(limit_ms), trying).await;
     let mut offer = offer.unwrap_or(Offer::MayHaveRun(NO_ANSWER_IN_TIME));
-    if matches!(offer, Offer::MayHaveRun(_)) && held.is_waiting() {
+    if matches!(offer, Offer::MayHaveRun(_)) && held.is_blocked() {
         metrics::counter!("shuntpier_answers_without_memory").increment(1);
         offer = Offer::Unheld(NO_MEMORY);
     }
@@ -125,7 +125,7 @@
     relay: &Rc<Relay>,
     admission: &Admission,
     message: Message<'_>,
-    held: &mut Held,
+    held: &mut BufferReservation,
 ) -> Offer {
     match relay.try_at(admission, message).await {
         Tried::NotRun(why) => Offer::NotRun(why),
@@ -135,7 +135,12 @@
 }
 
 /// Reads an answer whole and checks it before any of it is passed on.
-async fn whole(relay: &Rc<Relay>, slot: TargetSlot, mut opened: Opened, held: &mut Held) -> Offer {
+async fn whole(
+    relay: &Rc<Relay>,
+    slot: TargetSlot,
+    mut opened: Opened,
+    held: &mut BufferReservation,
+) -> Offer {
     if !opened.is_vouched() {
         return Offer::MayHaveRun("the answer is not the target's own");
     }
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -1,8 +1,8 @@
 //! One try at one target, and the one place that says whether it ran: not run (the target's own word, no
 //! channel, nothing written), answered, or it may have run.
 
+use crate::buffered::BufferReservation;
 use crate::forwarding::admission::Admission;
-use crate::held::Held;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
@@ -220,7 +220,7 @@
         if opened.facts.is_not_run {
             let retry_after_ms = opened.facts.retry_after_ms.value();
             // The short body is read so that the channel can be used again; its loss changes nothing.
-            let mut held = Held::new(&self.memory, None);
+            let mut held = BufferReservation::new(&self.memory, None);
             let _ = opened.read_whole(&mut held).await;
             opened.finish(self);
             return Tried::NotRun(NotRun::Refused { retry_after_ms });
@@ -299,13 +299,13 @@
 }
 
 /// Counts more of an answer, once there is room.
-async fn hold(held: &mut Held, more: u64) -> Result<(), &'static str> {
+async fn hold(held: &mut BufferReservation, more: u64) -> Result<(), &'static str> {
     let bytes = held.bytes() + more;
-    if bytes > ANSWER_BYTES_MAX as u64 || !held.could_hold(bytes) {
+    if bytes > ANSWER_BYTES_MAX as u64 || !held.could_fit(bytes) {
         return Err(ANSWER_TOO_LONG);
     }
     if more > 0 {
-        held.wait(more).await;
+        held.reserve(more).await;
     }
     Ok(())
 }
@@ -333,7 +333,10 @@
     }
 
     /// The whole body, counted. While there is no room for it, the target is not read.
-    pub(crate) async fn read_whole(&mut self, held: &mut Held) -> Result<Bytes, &'static str> {
+    pub(crate) async fn read_whole(
+        &mut self,
+        held: &mut BufferReservation,
+    ) -> Result<Bytes, &'static str> {
         if let Framing::Length(length) = self.framing {
             // Asked for whole: two that have halves would wait for each other.
             hold(held, length).await?;
@@ -356,7 +359,7 @@
     async fn next_of(
         &mut self,
         read: usize,
-        held: &mut Held,
+        held: &mut BufferReservation,
     ) -> Result<Option<Bytes>, &'static str> {
         let Some(more) = self.next().await? else {
             return Ok(None);
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -1,5 +1,7 @@
 //! Passes the events of one generation on as they come, from one engine after another.
 
+use crate::buffered::deliver::wait_writable;
+use crate::buffered::unsent::Unsent;
 use crate::dispatch::completion::CompletionSample;
 use crate::dispatch::permits::Permit;
 use crate::forwarding::admission::SendKind;
@@ -8,8 +10,6 @@
 use crate::forwarding::pauses::{PauseIn, Pauses};
 use crate::forwarding::send::{Opened, Tried};
 use crate::forwarding::stream_end::{Ended, deliver_part, deliver_rest};
-use crate::held::deliver::ready;
-use crate::held::unsent::Unsent;
 use crate::ingress::accept::{After, count, write_reply};
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::migration::migrated_copy::MigratedCopy;
@@ -95,7 +95,7 @@
             "end" => ?ended, "events" => self.events, "moves" => self.moves,
             "first_event_ms" => self.first_event_ms, "longest_pause_ms" => self.pauses.longest_ms(),
             "longest_pause_in" => ?self.pauses.longest_in(),
-            "unsent_bytes_most" => self.unsent.most_bytes(),
+            "unsent_bytes_most" => self.unsent.peak_bytes(),
             "late" => self.is_late(), "paused" => self.is_paused(),
             "after_ms" => self.relay.now_ms() - self.incoming.came_ms);
         metrics::counter!("shuntpier_generations", "end" => ended.word()).increment(1);
@@ -170,7 +170,7 @@
         let mut read_before = true;
         loop {
             let writes = !self.unsent.is_empty();
-            let reads = self.unsent.may_read();
+            let reads = self.unsent.can_read();
             if reads && !read_before {
                 // It was not read meanwhile, and could say nothing.
                 silent_at = Instant::now() + SILENT_LIMIT;
@@ -183,7 +183,7 @@
             read_before = reads;
             let step = tokio::select! {
                 biased;
-                is_there = ready(caller, writes) => {
+                is_there = wait_writable(caller, writes) => {
                     let pending = self.splitter.pending_bytes();
                     if !is_there || self.unsent.write(caller, pending).is_err() {
                         return Ended::CallerLeft;
@@ -196,13 +196,13 @@
                     }
                     return Ended::TimeOver;
                 }
-                () = sleep_until(self.unsent.look_at()), if writes => {
-                    if self.unsent.is_over(self.relay, self.incoming.id()) {
+                () = sleep_until(self.unsent.next_check_at()), if writes => {
+                    if self.unsent.is_caller_stalled(self.relay, self.incoming.id()) {
                         return Ended::Unread;
                     }
                     None
                 }
-                () = self.unsent.freed(), if !reads => None,
+                () = self.unsent.wait_for_room(), if !reads => None,
                 step = migrator.next_step(&self.permit, self.incoming.id()) => Some(step),
                 () = sleep_until(silent_at), if !doubted && reads => {
                     doubted = true;
--- a/components/relay/src/forwarding/stream_end.rs
+++ b/components/relay/src/forwarding/stream_end.rs
@@ -1,7 +1,7 @@
 //! How a stream ended, and what its caller still gets of it.
 
-use crate::held::deliver::Delivered;
-use crate::held::unsent::Unsent;
+use crate::buffered::deliver::Delivered;
+use crate::buffered::unsent::Unsent;
 use crate::ingress::accept::After;
 use crate::ingress::request::Incoming;
 use crate::state::Relay;
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -1,9 +1,9 @@
 //! Callers' channels: one request after another, each read whole, let in or refused, and answered.
 
+use crate::buffered::BufferReservation;
+use crate::buffered::deliver::{Delivered, deliver};
 use crate::forwarding::call::call;
 use crate::forwarding::generation::generate;
-use crate::held::Held;
-use crate::held::deliver::{Delivered, deliver};
 use crate::ingress::reading::{no_memory, read_body, read_head};
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::ingress::stopping::stop_retry_ms;
@@ -97,7 +97,7 @@
         Ok(None) => return After::Drop,
         Err(own) => return refuse(relay, channel, own, None).await,
     };
-    let mut held = Held::new(&relay.memory, None);
+    let mut held = BufferReservation::new(&relay.memory, None);
     let body = match read_body(channel, &head, relay, limits, &mut held).await {
         Ok(body) => body,
         Err(Some(own)) => return refuse(relay, channel, own, None).await,
@@ -139,7 +139,7 @@
     relay: &Relay,
     head: RequestHead,
     body: Bytes,
-    mut held: Held,
+    mut held: BufferReservation,
     came_ms: u64,
 ) -> Result<(Incoming, Way), Refused> {
     let facts = match parse_request_headers(&head.headers) {
@@ -182,7 +182,7 @@
         account,
         declared: declared.clone(),
     };
-    if !held.belongs_to(way.account_id()) {
+    if !held.assign_account(way.account_id()) {
         return Err((
             no_memory("this account's requests hold too much memory"),
             id,
@@ -256,7 +256,7 @@
 ) -> After {
     let closes = closes || relay.sheds_channel();
     let (mut head, body, held) = reply.parts(closes);
-    let held = held.unwrap_or_else(|| Rc::new(Held::new(&relay.memory, None)));
+    let held = held.unwrap_or_else(|| Rc::new(BufferReservation::new(&relay.memory, None)));
     let joined = body.len() <= JOINED_BYTES_MAX;
     if joined {
         head.extend_from_slice(&body);
--- a/components/relay/src/ingress/reading.rs
+++ b/components/relay/src/ingress/reading.rs
@@ -1,6 +1,6 @@
 //! Reads a request whole, within the memory that its account may take, before anything of it is sent on.
 
-use crate::held::Held;
+use crate::buffered::BufferReservation;
 use crate::ingress::request::LocalReply;
 use crate::state::Relay;
 use bytes::Bytes;
@@ -41,7 +41,7 @@
     head: &RequestHead,
     relay: &Relay,
     limits: CallerLimits,
-    held: &mut Held,
+    held: &mut BufferReservation,
 ) -> Result<Bytes, Option<LocalReply>> {
     let told = match head.framing {
         Framing::Length(length) => length,
@@ -52,7 +52,7 @@
     }
     if told > SHORT_BODY_BYTES || head.framing == Framing::Chunked {
         // It is counted for its account while it is read: callers that send slowly would else take the room of all.
-        held.belongs_to(account_of(relay, head));
+        held.assign_account(account_of(relay, head));
     }
     if !finds_room(held, told).await {
         return Err(Some(no_memory("no memory for the body")));
@@ -121,11 +121,11 @@
 }
 
 /// Whether there comes to be room for more. Meanwhile the caller is not read.
-async fn finds_room(held: &mut Held, more: u64) -> bool {
-    if !held.could_hold(held.bytes() + more) {
+async fn finds_room(held: &mut BufferReservation, more: u64) -> bool {
+    if !held.could_fit(held.bytes() + more) {
         return false;
     }
-    timeout(BODY_ROOM_LIMIT, held.wait(more)).await.is_ok()
+    timeout(BODY_ROOM_LIMIT, held.reserve(more)).await.is_ok()
 }
 
 pub(super) fn no_memory(why: &'static str) -> LocalReply {
--- a/components/relay/src/ingress/request.rs
+++ b/components/relay/src/ingress/request.rs
@@ -1,6 +1,6 @@
 //! A caller's request as this box holds it, and answers of the box's own.
 
-use crate::held::Held;
+use crate::buffered::BufferReservation;
 use crate::state::Declared;
 use bytes::Bytes;
 use http1::RequestHead;
@@ -17,7 +17,7 @@
     /// The same for each try of the same request.
     pub key: RequestKey,
     /// Counts the body.
-    pub _held: Held,
+    pub _held: BufferReservation,
     /// When its first byte was read.
     pub came_ms: u64,
 }
@@ -169,7 +169,7 @@
     /// Why it is an answer of this box's own; none for a target's.
     pub own: Option<LocalReply>,
     /// Counts the body; none where it is short.
-    pub held: Option<Rc<Held>>,
+    pub held: Option<Rc<BufferReservation>>,
 }
 
 impl Reply {
@@ -184,7 +184,7 @@
     }
 
     /// The head and the body, for a channel that closes after it or not, and what counts them.
-    pub(crate) fn parts(mut self, closes: bool) -> (Vec<u8>, Bytes, Option<Rc<Held>>) {
+    pub(crate) fn parts(mut self, closes: bool) -> (Vec<u8>, Bytes, Option<Rc<BufferReservation>>) {
         let length = self.body.len();
         self.head
             .extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
--- a/components/relay/src/lib.rs
+++ b/components/relay/src/lib.rs
@@ -2,9 +2,9 @@
 //! Durable state is kept in the platform's store. A box learns about other boxes and targets from the store and from its
 //! peers.
 
+mod buffered;
 mod dispatch;
 mod forwarding;
-mod held;
 mod ingress;
 mod membership;
 mod migration;
--- a/components/relay/src/reconfigure.rs
+++ b/components/relay/src/reconfigure.rs
@@ -28,7 +28,7 @@
             self.store_suspected.notify_waiters();
         }
         if previous.limits != current.limits {
-            self.memory.set_bounds(memory_bounds(&current.limits));
+            self.memory.set_limits(memory_bounds(&current.limits));
         }
         if previous.limits.link_mbps != current.limits.link_mbps {
             let mut members = self.members.borrow_mut();
--- a/components/relay/src/start.rs
+++ b/components/relay/src/start.rs
@@ -1,7 +1,7 @@
 //! Start and planned stop of a box.
 
+use crate::buffered::BufferBudget;
 use crate::dispatch::engine_polls::{run_engine_polls, run_probes};
-use crate::held::Holdings;
 use crate::ingress::accept;
 use crate::ingress::overrun::run_overrun;
 use crate::ingress::readiness;
@@ -117,7 +117,7 @@
         refused_entries: RefCell::default(),
         target_changes: watch::Sender::new(0),
         channels: RefCell::default(),
-        memory: Holdings::new(memory_bounds(&file.limits)),
+        memory: BufferBudget::new(memory_bounds(&file.limits)),
         balance: RefCell::default(),
         calls_ended: Notify::new(),
         rate_limits: RateLimits::default(),
@@ -196,7 +196,7 @@
         relay.remove_stale_grants();
         metrics::gauge!("shuntpier_generations_open")
             .set(relay.open_generations.borrow().count() as f64);
-        let (buffered_bytes, max_bytes) = relay.memory.fill();
+        let (buffered_bytes, max_bytes) = relay.memory.usage();
         metrics::gauge!("shuntpier_held_bytes").set(buffered_bytes as f64);
         metrics::gauge!("shuntpier_held_bytes_most").set(max_bytes as f64);
         metrics::gauge!("shuntpier_rate_limited_targets")
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -1,11 +1,11 @@
 //! The state of one box. A single thread uses all of it.
 
+use crate::buffered::{BufferBudget, BufferLimits};
 use crate::dispatch::completion::CompletionEstimator;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::open_generations::OpenGenerations;
 use crate::forwarding::balance::CallBalance;
 use crate::forwarding::channels::Channels;
-use crate::held::{Bounds, Holdings};
 use crate::ingress::request::LocalReply;
 use crate::membership::compression::compress;
 use crate::membership::list_budget::ListBudget;
@@ -72,7 +72,7 @@
     pub(crate) target_changes: watch::Sender<u64>,
     pub(crate) channels: RefCell<Channels>,
     /// Budget of memory for buffered requests and answers of slow readers.
-    pub(crate) memory: Rc<Holdings>,
+    pub(crate) memory: Rc<BufferBudget>,
     /// Statistics of calls to plain targets.
     pub(crate) balance: RefCell<CallBalance>,
     /// Notified when a request at a target ends, as a waiting call may then be sent.
@@ -160,8 +160,8 @@
 }
 
 /// Returns the bounds on buffered bytes, in total and per account.
-pub(crate) fn memory_bounds(limits: &FleetLimits) -> Bounds {
-    Bounds {
+pub(crate) fn memory_bounds(limits: &FleetLimits) -> BufferLimits {
+    BufferLimits {
         box_bytes: limits.held_bytes(),
         account_bytes: limits.account_held_bytes(),
     }
