--- a/components/relay/src/buffered/deliver.rs
+++ b/components/relay/src/buffered/deliver.rs
@@ -1,4 +1,4 @@
-//! Writes to callers what is ready for them, late as well, and ends those that do not read.
+//! Writes buffered bytes to callers, and gives up on callers that stopped reading.
 
 use crate::buffered::BufferReservation;
 use crate::state::Relay;
@@ -6,39 +6,40 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A caller that took nothing for this long is ended where a bound on memory is reached. Longer than the
-/// packets of a usual bad link are sent again for.
+/// How long a caller may accept no bytes while requests wait for buffer memory. Longer than TCP retransmits on an
+/// ordinary lossy link take.
 const CONTENDED_STALL_LIMIT: Duration = Duration::from_secs(5);
-/// How often it is looked whether a caller is silent for too long.
+/// Interval between checks for a stalled caller.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What became of something that was written to a caller.
+/// The result of a write to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivered {
-    /// All of it was taken.
+    /// All bytes were written.
     Whole,
-    /// The caller left.
+    /// The caller closed the connection.
     CallerLeft,
-    /// The caller did not read, and was ended.
+    /// The caller stalled for too long; its connection is to be closed.
     Unread,
 }
 
-/// How long a caller has taken nothing.
+/// Measures the time since a caller last accepted bytes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallTimer(Instant);
 
 impl StallTimer {
-    /// It begins now.
+    /// Starts at the current time.
     pub(crate) fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// When to look again.
+    /// When to check next for a stall.
     pub(crate) fn next_check_at() -> Instant {
         Instant::now() + CHECK_INTERVAL
     }
 
-    /// Whether the caller is to be ended; the log says why.
+    /// Whether the caller has stalled for too long; logs the reason. The limit is shorter while requests wait for buffer
+    /// memory.
     pub(crate) fn is_expired(
         self,
         relay: &Relay,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Waits until a caller may be written to, or, where nothing is to be written, until it is gone. False where it is gone.
+/// Waits until the channel is writable; without output, until the caller is gone. Returns false if the caller is gone.
 pub(crate) async fn wait_writable(channel: &mut Channel, has_output: bool) -> bool {
     if has_output {
         return channel.writable().await.is_ok();
@@ -70,7 +71,7 @@
     false
 }
 
-/// Writes all of `bytes`, for as long as its caller reads. `held` counts the bytes; it is not changed.
+/// Writes all of `bytes`, until the caller leaves or stalls. `reservation` covers the bytes and is left unchanged.
 pub(crate) async fn deliver(
     relay: &Relay,
     channel: &mut Channel,
--- a/components/relay/src/buffered/ledger.rs
+++ b/components/relay/src/buffered/ledger.rs
@@ -1,43 +1,43 @@
-//! Who holds how many bytes, and whether there is room for more. Plain data.
+//! Counts the buffered bytes of the box and of each client account against their limits. Does no I/O and wakes nobody itself.
 
 use prelude::AccountId;
 use std::collections::HashMap;
 
-/// So much of a bound is free again before those who wait are woken: each piece that is written would wake all of them.
+/// Waiters are woken once 1/16 of the limit is free. Otherwise each piece written to a peer would wake all of them.
 const WAKE_DIVISOR: u64 = 16;
 
-/// The bounds in force.
+/// The limits in force, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BufferLimits {
-    /// For the box.
+    /// Limit of the whole box.
     pub box_bytes: u64,
-    /// For each client account.
+    /// Limit of each client account.
     pub account_bytes: u64,
 }
 
-/// What one client account has.
+/// Buffered bytes of one client account.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountUsage {
     bytes: u64,
-    /// More was wanted than there was room for.
+    /// A reservation did not fit the account's limit; cleared when its waiters are woken.
     has_waiters: bool,
 }
 
-/// Who is woken after bytes were given back.
+/// Which waiters to wake after bytes were released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Wakeup {
     Nobody,
-    /// Those who wait for room of one account.
+    /// The waiters of one account.
     Account(AccountId),
     All,
 }
 
-/// The bytes that a box holds for others.
+/// The buffered bytes of the box.
 #[derive(Clone, Debug)]
 pub(crate) struct BufferLedger {
     limits: BufferLimits,
     bytes: u64,
-    /// More was wanted than the box had room for.
+    /// A reservation did not fit the limit of the box; cleared when all waiters are woken.
     has_waiters: bool,
     accounts: HashMap<AccountId, AccountUsage>,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts bounds into force. What is held over them drains.
+    /// Replaces the limits. Bytes above a lowered limit stay counted until they are released.
     pub(crate) fn set_limits(&mut self, limits: BufferLimits) {
         self.limits = limits;
     }
@@ -73,7 +73,7 @@
         self.limits
     }
 
-    /// Whether so many bytes could be held if nothing else were.
+    /// Whether `bytes` would fit if nothing else were buffered.
     pub(crate) fn could_fit(&self, account: Option<AccountId>, bytes: u64) -> bool {
         let limit = match account {
             Some(_) => self.limits.box_bytes.min(self.limits.account_bytes),
@@ -82,7 +82,7 @@
         bytes <= limit
     }
 
-    /// Whether there is room for more. An account is none while a request is not known to be anybody's.
+    /// Whether `additional` bytes fit now. `account` is none until the account of the request is known.
     pub(crate) fn has_room(&self, account: Option<AccountId>, additional: u64) -> bool {
         has_room(self.bytes, additional, self.limits.box_bytes)
             && self.account_has_room(account, additional)
@@ -97,7 +97,7 @@
         self.accounts.get(&account).copied().unwrap_or_default()
     }
 
-    /// Notes that more was wanted than there is room for.
+    /// Records which limits leave no room for `additional` bytes, so that a release wakes the waiters.
     pub(crate) fn record_shortage(&mut self, account: Option<AccountId>, additional: u64) {
         self.has_waiters |= !has_room(self.bytes, additional, self.limits.box_bytes);
         let account_has_room = self.account_has_room(account, additional);
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Whether more was wanted than the bound of the box or of an account allows.
+    /// Whether somebody waits for room under the limit of the box or of `account`.
     pub(crate) fn is_contended(&self, account: Option<AccountId>) -> bool {
         self.has_waiters || account.is_some_and(|account| self.usage(account).has_waiters)
     }
 
-    /// Counts more, room or not.
+    /// Adds bytes, also beyond a limit.
     pub(crate) fn add(&mut self, account: Option<AccountId>, bytes: u64) {
         self.bytes += bytes;
         if let Some(account) = account {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Counts less.
+    /// Subtracts bytes; returns whom to wake.
     pub(crate) fn release(&mut self, account: Option<AccountId>, bytes: u64) -> Wakeup {
         self.bytes = self.bytes.saturating_sub(bytes);
         let mut wakeup = Wakeup::Nobody;
--- a/components/relay/src/buffered/mod.rs
+++ b/components/relay/src/buffered/mod.rs
@@ -1,5 +1,5 @@
-//! What the box keeps for callers and targets that read slowly: counted, bounded for the box and for each client account,
-//! and slowing its source.
+//! Buffers for callers and targets that read slowly. Their bytes count against a limit of the box and one of each client
+//! account; at a limit, reading from the source stops (backpressure).
 
 pub(crate) mod deliver;
 mod ledger;
--- a/components/relay/src/buffered/reservation.rs
+++ b/components/relay/src/buffered/reservation.rs
@@ -1,4 +1,4 @@
-//! One request's part of what the box holds. It is given back when it is dropped.
+//! The buffered bytes of one request, released on drop, and the budget of the box that they count against.
 
 use crate::buffered::ledger::{BufferLedger, BufferLimits, Wakeup};
 use prelude::AccountId;
@@ -8,13 +8,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What each request may hold beyond all bounds, one read of a channel: ordinary calls pass beside a flood.
+/// Bytes that each request may buffer regardless of the limits (one read of a channel), so that ordinary calls are served
+/// while a flood uses up the budget.
 const EXEMPT_BYTES: u64 = 8 * 1024;
 
-/// The box's book, with those who wait for room.
+/// The buffer ledger of the box, and the waiters for room in it.
 pub(crate) struct BufferBudget {
     ledger: RefCell<BufferLedger>,
-    /// Those who wait, by whose room they wait for.
+    /// Notified when room is freed, by account; none for requests whose account is not known yet.
     room_notifiers: RefCell<HashMap<Option<AccountId>, Rc<Notify>>>,
 }
 
@@ -31,7 +32,7 @@
         self.wake(Wakeup::All);
     }
 
-    /// Bytes held, and how many may be.
+    /// Bytes buffered on the box, and its limit in bytes.
     pub(crate) fn usage(&self) -> (u64, u64) {
         let ledger = self.ledger.borrow();
         (ledger.bytes(), ledger.limits().box_bytes)
@@ -62,7 +63,7 @@
     }
 }
 
-/// What is held for one request.
+/// The bytes that are buffered for one request.
 pub(crate) struct BufferReservation {
     budget: Rc<BufferBudget>,
     account: Option<AccountId>,
@@ -77,7 +78,7 @@
 }
 
 impl BufferReservation {
-    /// Nothing yet. The account is none while it is not known.
+    /// An empty reservation. `account` is none until the account of the request is known.
     pub(crate) fn new(budget: &Rc<BufferBudget>, account: Option<AccountId>) -> Self {
         Self {
             budget: budget.clone(),
@@ -91,13 +92,13 @@
         self.bytes
     }
 
-    /// Whether so many bytes could be held if nothing else were.
+    /// Whether `bytes` would fit if nothing else were buffered.
     pub(crate) fn could_fit(&self, bytes: u64) -> bool {
         let ledger = self.budget.ledger.borrow();
         bytes <= EXEMPT_BYTES || ledger.could_fit(self.account, bytes)
     }
 
-    /// Whether more may be held. Where not, it is noted that somebody waits.
+    /// Whether `additional` bytes fit now. If not, records a waiter, so that a release wakes it.
     pub(crate) fn check_room(&self, additional: u64) -> bool {
         let mut ledger = self.budget.ledger.borrow_mut();
         let has_room =
@@ -108,7 +109,7 @@
         has_room
     }
 
-    /// Counts more, which is held already.
+    /// Counts `additional` bytes that are buffered already, without a check of the limits.
     pub(crate) fn add(&mut self, additional: u64) {
         self.bytes += additional;
         self.budget
@@ -117,7 +118,7 @@
             .add(self.account, additional);
     }
 
-    /// Counts less.
+    /// Releases up to `bytes`, and wakes the waiters that may fit now.
     pub(crate) fn release(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
@@ -125,12 +126,12 @@
         self.budget.wake(wakeup);
     }
 
-    /// Waits until there may be room again.
+    /// Waits until room was freed. There may be too little of it: check again afterwards.
     pub(crate) async fn wait_for_room(&self) {
         self.budget.room_notifier(self.account).notified().await;
     }
 
-    /// Waits until more may be held, and counts it.
+    /// Waits until `additional` bytes fit, and counts them.
     pub(crate) async fn reserve(&mut self, additional: u64) {
         while !self.check_room(additional) {
             self.is_blocked = true;
@@ -140,12 +141,14 @@
         self.add(additional);
     }
 
-    /// Whether a wait for more did not come to its end: its source was not read meanwhile.
+    /// Whether a call of `reserve` was dropped while it waited. The source was not read during that wait, so a timeout
+    /// is not the fault of the source.
     pub(crate) fn is_blocked(&self) -> bool {
         self.is_blocked
     }
 
-    /// Counts it for the account that it turned out to belong to. False where that has no room for it.
+    /// Moves the bytes to the account of the request once it is known. Returns false if the account has no room for them;
+    /// they are counted all the same.
     pub(crate) fn assign_account(&mut self, account: AccountId) -> bool {
         let bytes = self.bytes;
         self.release(bytes);
@@ -155,7 +158,8 @@
         has_room
     }
 
-    /// Whether more was wanted than a bound allows that this counts against, by this request or by others.
+    /// Whether this or another request waits for room under a limit that these bytes count against. Never within
+    /// [`EXEMPT_BYTES`].
     pub(crate) fn is_contended(&self) -> bool {
         self.bytes > EXEMPT_BYTES && self.budget.ledger.borrow().is_contended(self.account)
     }
--- a/components/relay/src/buffered/unsent.rs
+++ b/components/relay/src/buffered/unsent.rs
@@ -1,4 +1,4 @@
-//! Events of one stream that were read and that its caller has not taken.
+//! Events of one stream that were read from the engine and not yet written to the caller.
 
 use crate::buffered::deliver::{Delivered, StallTimer, deliver};
 use crate::buffered::{BufferBudget, BufferReservation};
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What one read of an engine may bring.
+/// Most bytes that one read from an engine returns.
 const READ_BYTES_MAX: u64 = 8 * 1024;
-/// A buffer that grew larger than this is given back once it is empty.
+/// An empty buffer whose capacity exceeds this is deallocated.
 const RETAINED_CAPACITY_BYTES: usize = 16 * 1024;
 
-/// Events that wait for their caller.
+/// The write buffer of one stream.
 pub(crate) struct Unsent {
     bytes: BytesMut,
     reservation: BufferReservation,
@@ -39,22 +39,23 @@
         self.bytes.is_empty()
     }
 
-    /// The most that waited at once.
+    /// The largest number of bytes buffered at once.
     pub(crate) fn peak_bytes(&self) -> usize {
         self.peak_bytes
     }
 
-    /// Whether more may be read of the engine. With nothing unsent always: so no stream waits for itself.
+    /// Whether to read more from the engine. Always true with an empty buffer, so that no stream blocks on its own bytes.
     pub(crate) fn can_read(&self) -> bool {
         self.is_empty() || self.reservation.check_room(READ_BYTES_MAX)
     }
 
-    /// Waits until more may be read.
+    /// Waits until room was freed; check [`Self::can_read`] again afterwards.
     pub(crate) async fn wait_for_room(&self) {
         self.reservation.wait_for_room().await;
     }
 
-    /// Takes bytes in, and counts them with the part of an event that is `pending`.
+    /// Appends bytes to the buffer. `pending` is the size in bytes of an incomplete event that is buffered elsewhere; it is
+    /// counted too.
     pub(crate) fn push(&mut self, bytes: &[u8], pending: usize) {
         if self.is_empty() && !bytes.is_empty() {
             self.stall_timer = StallTimer::start();
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Writes what the caller takes now.
+    /// Writes as much as the caller accepts without blocking.
     ///
     /// # Errors
-    /// The system's, where the caller is gone.
+    /// The I/O error of the write, when the caller is gone.
     pub(crate) fn write(&mut self, caller: &mut Channel, pending: usize) -> io::Result<()> {
         while !self.bytes.is_empty() {
             let written = caller.try_write(&self.bytes)?;
@@ -93,18 +94,18 @@
         Ok(())
     }
 
-    /// When to look whether the caller still reads.
+    /// When to check next whether the caller still reads.
     pub(crate) fn next_check_at(&self) -> Instant {
         self.next_check_at
     }
 
-    /// Whether the caller does not read and is to be ended.
+    /// Whether the caller has stalled for too long and its connection is to be closed. Schedules the next check.
     pub(crate) fn is_caller_stalled(&mut self, relay: &Relay, id: &str) -> bool {
         self.next_check_at = StallTimer::next_check_at();
         self.stall_timer.is_expired(relay, id, &self.reservation)
     }
 
-    /// Writes the rest, for as long as the caller reads.
+    /// Writes the rest of the buffer, until the caller leaves or stalls.
     pub(crate) async fn drain(self, relay: &Relay, caller: &mut Channel, id: &str) -> Delivered {
         match self.bytes.is_empty() {
             true => Delivered::Whole,
