--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -13,7 +13,7 @@
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::ingress::stopping::refusal_of_stopping;
 use crate::membership::gossip::broadcast_digest;
-use crate::quarantine::broken::RunFailure;
+use crate::quarantine::broken_runs::RunFailure;
 use crate::state::Relay;
 use crate::watch::targets::{Target, TargetSlot};
 use http1::Channel;
--- a/components/relay/src/forwarding/offer.rs
+++ b/components/relay/src/forwarding/offer.rs
@@ -7,7 +7,7 @@
     ANSWER_TOO_LONG, Message, NotRun, Opened, Tried, UNREPEATABLE_REST_MS,
 };
 use crate::ingress::request::{Incoming, Reply, Way};
-use crate::quarantine::broken::RunFailure;
+use crate::quarantine::broken_runs::RunFailure;
 use crate::rate_limit::token::TokenRequest;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -14,7 +14,7 @@
 use crate::ingress::request::{Incoming, LocalReply, Reply, Way};
 use crate::migration::migrated_copy::MigratedCopy;
 use crate::migration::migrator::{MigrationStep, Migrator};
-use crate::quarantine::broken::RunFailure;
+use crate::quarantine::broken_runs::RunFailure;
 use crate::state::Relay;
 use http1::{Channel, Framing, push_chunk};
 use peers::EngineFault;
--- /dev/null
+++ b/components/relay/src/quarantine/broadcast.rs
@@ -0,0 +1,153 @@
+//! Exchange between boxes about requests that crash targets. Each crash and each acquittal is broadcast to all boxes at once;
+//! a box that starts fetches the withheld requests from its peers.
+
+use crate::membership::broadcast::broadcast_groups;
+use crate::state::Relay;
+use peers::EndsTold;
+use prelude::{Acquittal, BoxId, RequestKey, TargetEnd};
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Timeout of a call to a peer, as for other calls between boxes.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of peers that a starting box queries at once.
+const QUERIED_PEERS_MAX: usize = 3;
+/// Interval of the queries of a starting box until a peer answers, and for how long it queries. Later crashes are broadcast
+/// to it in any case.
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
+const QUERY_DURATION_MS: u64 = 10_000;
+
+impl Relay {
+    /// Broadcasts crashes to all boxes.
+    pub(super) fn broadcast_crashes(self: &Rc<Self>, crashes: &[TargetEnd]) {
+        if crashes.is_empty() {
+            return;
+        }
+        self.broadcast_report(&EndsTold {
+            ends: crashes.to_vec(),
+            ..EndsTold::default()
+        });
+    }
+
+    /// Broadcasts to all boxes that a request did not cause its crashes, and deletes its record.
+    pub(super) fn broadcast_acquittal(self: &Rc<Self>, acquittal: Acquittal) {
+        self.broadcast_report(&EndsTold {
+            acquittals: vec![acquittal],
+            ..EndsTold::default()
+        });
+        self.remove_record(acquittal.request);
+    }
+
+    fn broadcast_report(self: &Rc<Self>, report: &EndsTold) {
+        let others = self.members.borrow().broadcast_order(self.now_ms());
+        for group in broadcast_groups(&others) {
+            tokio::task::spawn_local(send_to_group(self.clone(), report.clone(), group));
+        }
+    }
+
+    /// Applies a report of another box, forwards it to the boxes in `pass_on`, and replies with known crashes: of all withheld
+    /// requests if asked for these, else of the reported requests.
+    pub(crate) fn handle_crash_report(self: &Rc<Self>, mut report: EndsTold) -> EndsTold {
+        for id in std::mem::take(&mut report.pass_on) {
+            tokio::task::spawn_local(send_to_group(self.clone(), report.clone(), vec![id]));
+        }
+        self.apply_report(&report);
+        let now_ms = self.now_ms();
+        let quarantine = self.quarantine.borrow();
+        let ends = match report.asks_all {
+            true => quarantine.crashes_of_withheld(now_ms),
+            false => {
+                let requests: BTreeSet<RequestKey> =
+                    report.ends.iter().map(|crash| crash.request).collect();
+                let crashes_of = |request: RequestKey| quarantine.crashes_of(request, now_ms);
+                requests.into_iter().flat_map(crashes_of).collect()
+            }
+        };
+        EndsTold {
+            ends,
+            ..EndsTold::default()
+        }
+    }
+
+    fn apply_report(&self, report: &EndsTold) {
+        self.apply_crashes(&report.ends, "peer");
+        let now_ms = self.now_ms();
+        for acquittal in &report.acquittals {
+            let is_new = self
+                .quarantine
+                .borrow_mut()
+                .apply_acquittal(acquittal, now_ms);
+            if is_new {
+                slog::info!(self.log, "request acquitted"; "request" => %acquittal.request,
+                    "by" => ?acquittal.by, "source" => "peer");
+            }
+        }
+    }
+
+    /// Fetches the crashes of withheld requests from a few random peers. Returns false if none answers.
+    pub(super) async fn fetch_withheld(&self) -> bool {
+        let others = self.members.borrow().others();
+        let queries = choose_peers(&others, &mut rand::rng())
+            .into_iter()
+            .map(|id| {
+                let report = EndsTold {
+                    asks_all: true,
+                    ..EndsTold::default()
+                };
+                self.send_report(id, report)
+            });
+        let replies = futures::future::join_all(queries).await;
+        replies.into_iter().any(|answered| answered)
+    }
+
+    /// Sends a report to one box and applies its reply. Returns false without a reply.
+    async fn send_report(&self, id: BoxId, report: EndsTold) -> bool {
+        let call = self
+            .peers
+            .call(id, CALL_TIMEOUT, |client, context| async move {
+                client.ends(context, report).await
+            });
+        let answer = self.record_peer_result(id, call.await, "ends");
+        if let Some(answer) = &answer {
+            self.apply_report(answer);
+        }
+        answer.is_some()
+    }
+}
+
+/// Chooses the peers to query, at random: otherwise boxes that start together would all query the same peers.
+fn choose_peers(others: &[BoxId], random: &mut impl Rng) -> Vec<BoxId> {
+    others
+        .choose_multiple(random, QUERIED_PEERS_MAX)
+        .copied()
+        .collect()
+}
+
+/// Fetches the withheld requests on a box that has just started, once the seeds were queried for peers.
+pub(super) async fn fetch_withheld_at_start(relay: Rc<Relay>) {
+    let until_ms = relay.now_ms() + QUERY_DURATION_MS;
+    relay.wait_for_seeds().await;
+    while relay.now_ms() < until_ms && !relay.fetch_withheld().await {
+        sleep(QUERY_INTERVAL).await;
+    }
+}
+
+/// Sends a report to the first box of a group that answers, which forwards it to the rest of the group.
+async fn send_to_group(relay: Rc<Relay>, mut report: EndsTold, group: Vec<BoxId>) {
+    let mut remaining = &group[..];
+    while let Some((first, others)) = remaining.split_first() {
+        remaining = others;
+        report.pass_on = others.to_vec();
+        if relay.send_report(*first, report.clone()).await {
+            return;
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "broadcast_tests.rs"]
+mod tests;
--- a/components/relay/src/quarantine/mod.rs
+++ b/components/relay/src/quarantine/mod.rs
@@ -1,8 +1,9 @@
-//! Requests under which targets end one after another: which they are, and how boxes keep them from further targets.
-//! `broken` finds out whether a target ended with a run; `withhold` decides with [`policy::Quarantine`]; `spread` tells the other
-//! boxes; `record` keeps it in the platform's store, for boxes that start and for those that hear no other.
+//! Quarantine of requests that crash one target after another: detects them and keeps them from further targets.
+//! `broken_runs` finds out whether a target crashed during a run; `withhold` applies [`policy::Quarantine`]; `broadcast`
+//! informs the other boxes; `record` persists crashes in the platform's store, for boxes that start and for boxes without
+//! contact to a peer.
 
-pub(crate) mod broken;
+pub(crate) mod broadcast;
+pub(crate) mod broken_runs;
 pub(crate) mod record;
-pub(crate) mod spread;
 mod withhold;
--- a/components/relay/src/quarantine/record.rs
+++ b/components/relay/src/quarantine/record.rs
@@ -1,7 +1,8 @@
-//! The record of requests under which targets end, in the platform's store: it outlasts all boxes, and joins what boxes saw
-//! that do not hear each other. One end alone is not kept: most of them are of requests that stood beside.
+//! Records of requests that crash targets, in the platform's store. They survive a restart of all boxes, and merge the
+//! observations of boxes that cannot reach each other. A single crash is not recorded: most requests that run during a crash
+//! did not cause it.
 
-use crate::quarantine::spread::ask_at_start;
+use crate::quarantine::broadcast::fetch_withheld_at_start;
 use crate::state::Relay;
 use crate::watch::backoff::Backoff;
 use prelude::{RequestKey, TargetEnd, TargetId};
@@ -11,54 +12,55 @@
 use store::{Compare, KeyValue, StoreError, Transaction, TransactionResult, Versioned, Write};
 use tokio::time::sleep;
 
-/// What begins the keys of records.
+/// Key prefix of the records in the store.
 const PREFIX: &str = "quarantine/";
-/// How long a record lasts after its last write: as long as a request is withheld.
+/// Lifetime of a record after its last write: as long as a request is withheld.
 const LEASE_S: u64 = 600;
-/// Ends of a request from which on it is recorded, on a box that hears others.
-pub(super) const RECORDED_MIN: usize = 2;
-/// How often all records are read where boxes are few, as they were some seconds ago: a tenth of a call's price each time.
-const READ_EACH: Duration = Duration::from_secs(30);
-/// Writes that are tried where others write the same record, or the store is away: some two minutes.
-const TRIES_MAX: usize = 24;
-
-/// A record's value.
+/// Crashes of a request from which on it is recorded, on a box with contact to a peer.
+pub(super) const RECORDED_CRASHES_MIN: usize = 2;
+/// Interval of reads of all records in a small fleet. The reads may be some seconds stale, and each costs a tenth of an
+/// ordinary store call.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Attempts to write a record on conflicts with other boxes or while the store is unavailable: about two minutes.
+const WRITE_ATTEMPTS_MAX: usize = 24;
+
+/// The stored value: the crashes of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
-    ends: Vec<RecordedEnd>,
+    ends: Vec<RecordedCrash>,
 }
 
-/// A target that ended.
+/// A crash of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct RecordedEnd {
+struct RecordedCrash {
     target: TargetId,
     ran_ms: u32,
 }
 
 impl Record {
-    fn of(ends: &[TargetEnd]) -> Self {
-        let recorded = |end: &TargetEnd| RecordedEnd {
-            target: end.target,
-            ran_ms: end.ran_ms,
+    fn from_crashes(crashes: &[TargetEnd]) -> Self {
+        let recorded = |crash: &TargetEnd| RecordedCrash {
+            target: crash.target,
+            ran_ms: crash.ran_ms,
         };
         Self {
-            ends: ends.iter().map(recorded).collect(),
+            ends: crashes.iter().map(recorded).collect(),
         }
     }
 
-    /// The ends, as if they were just seen: a record does not say when, and it lasts no longer than its lease.
-    fn ends(&self, request: RequestKey) -> Vec<TargetEnd> {
-        let end = |recorded: &RecordedEnd| TargetEnd {
+    /// The crashes with an age of 0: a record has no times, and it expires with its lease anyway.
+    fn crashes(&self, request: RequestKey) -> Vec<TargetEnd> {
+        let crash = |recorded: &RecordedCrash| TargetEnd {
             request,
             target: recorded.target,
             ran_ms: recorded.ran_ms,
             age_ms: 0,
         };
-        self.ends.iter().map(end).collect()
+        self.ends.iter().map(crash).collect()
     }
 
-    fn has(&self, target: TargetId) -> bool {
-        self.ends.iter().any(|end| end.target == target)
+    fn contains(&self, target: TargetId) -> bool {
+        self.ends.iter().any(|crash| crash.target == target)
     }
 }
 
@@ -66,9 +68,9 @@
     format!("{PREFIX}{request}")
 }
 
-/// Reads all records, on a box that starts at once, and then now and then.
+/// Reads all records at the start of the box and then periodically; also asks peers for withheld requests at the start.
 pub(crate) async fn read_records(relay: Rc<Relay>) {
-    tokio::task::spawn_local(ask_at_start(relay.clone()));
+    tokio::task::spawn_local(fetch_withheld_at_start(relay.clone()));
     let mut backoff = Backoff::with_long_pauses();
     loop {
         metrics::counter!("shuntpier_store_calls", "of" => "records").increment(1);
@@ -77,28 +79,33 @@
                 backoff.reset();
                 let records = items.iter().filter_map(|item| relay.decode_record(item));
                 for (request, record) in records {
-                    relay.take_ends(&record.ends(request), "store");
+                    relay.apply_crashes(&record.crashes(request), "store");
                 }
-                sleep(READ_EACH * read_times(&relay)).await;
+                sleep(READ_INTERVAL * read_interval_factor(&relay)).await;
             }
             Err(error) => {
-                slog::info!(relay.log, "records not read"; "error" => %error);
-                // Others may have read them.
-                relay.ask_what_is_withheld().await;
-                sleep(pause_of_refused(&mut backoff, read_times(&relay))).await;
+                slog::info!(relay.log, "failed to read the quarantine records"; "error" => %error);
+                // Peers may have read the records.
+                relay.fetch_withheld().await;
+                sleep(pause_after_failed_read(
+                    &mut backoff,
+                    read_interval_factor(&relay),
+                ))
+                .await;
             }
         }
     }
 }
 
-/// How long a box leaves the store after a read that failed: the longer the more boxes there are, as a store that turns many
-/// away is asked by all of them.
-fn pause_of_refused(backoff: &mut Backoff, times: u32) -> Duration {
-    backoff.next_pause() * times
+/// How long to wait after a failed read. Grows with the number of boxes, because an overloaded store gets the retries of
+/// all of them.
+fn pause_after_failed_read(backoff: &mut Backoff, interval_factor: u32) -> Duration {
+    backoff.next_pause() * interval_factor
 }
 
-/// A box that hears others is told of ends by them, and reads the less often the more there are.
-fn read_times(relay: &Relay) -> u32 {
+/// By how much the interval between reads is multiplied. Boxes in contact with peers receive crashes from them, so they
+/// read less often the larger the fleet is.
+fn read_interval_factor(relay: &Relay) -> u32 {
     match relay.has_no_peer_contact(relay.now_ms()) {
         true => 1,
         false => relay.members.borrow().interval_factor() as u32,
@@ -106,47 +113,47 @@
 }
 
 impl Relay {
-    /// Reads a record of the store.
+    /// Decodes a record; logs and skips an invalid one.
     fn decode_record(&self, item: &Versioned) -> Option<(RequestKey, Record)> {
         let request = item.key.strip_prefix(PREFIX)?.parse().ok()?;
         match serde_json::from_slice(&item.value) {
             Ok(record) => Some((request, record)),
             Err(error) => {
-                slog::warn!(self.log, "record not used"; "key" => &item.key, "error" => %error);
+                slog::warn!(self.log, "ignoring an invalid quarantine record"; "key" => &item.key, "error" => %error);
                 None
             }
         }
     }
 
-    /// Has the store keep what this box just saw, where it is more than one end.
-    pub(super) fn keep_record(self: &Rc<Self>, news: &[TargetEnd]) {
+    /// Starts writing the records of requests with new crashes, if they have enough crashes to be recorded.
+    pub(super) fn store_crashes(self: &Rc<Self>, new_crashes: &[TargetEnd]) {
         let now_ms = self.now_ms();
-        // Boxes that hear no other join what they saw by their records alone.
-        let recorded_min = match self.has_no_peer_contact(now_ms) {
+        // Boxes without contact to a peer share crashes through the records alone.
+        let min_crashes = match self.has_no_peer_contact(now_ms) {
             true => 1,
-            false => RECORDED_MIN,
+            false => RECORDED_CRASHES_MIN,
         };
-        for end in news {
-            let known = self
+        for crash in new_crashes {
+            let known_crashes = self
                 .quarantine
                 .borrow()
-                .crashes_of(end.request, now_ms)
+                .crashes_of(crash.request, now_ms)
                 .len();
-            if known >= recorded_min {
-                tokio::task::spawn_local(write_record(self.clone(), end.request));
+            if known_crashes >= min_crashes {
+                tokio::task::spawn_local(write_record(self.clone(), crash.request));
             }
         }
     }
 
-    /// Has the store keep again what it lost: all that is withheld.
+    /// Writes the records of all withheld requests again, after the store lost them.
     pub(crate) fn rewrite_records(self: &Rc<Self>) {
-        let withheld = self.quarantine.borrow().withheld_requests(self.now_ms());
-        for row in withheld {
-            tokio::task::spawn_local(write_record(self.clone(), row.request));
+        let requests = self.quarantine.borrow().withheld_requests(self.now_ms());
+        for withheld_request in requests {
+            tokio::task::spawn_local(write_record(self.clone(), withheld_request.request));
         }
     }
 
-    /// Takes a record away: its request was acquitted.
+    /// Deletes the record of a request that was acquitted.
     pub(super) fn remove_record(self: &Rc<Self>, request: RequestKey) {
         let relay = self.clone();
         tokio::task::spawn_local(async move {
@@ -157,22 +164,22 @@
                 }],
             };
             if let Err(error) = relay.store.transact(&transaction).await {
-                // It goes with its lease.
-                slog::info!(relay.log, "record not taken away"; "error" => %error);
+                // The record expires with its lease.
+                slog::info!(relay.log, "failed to delete a quarantine record"; "error" => %error);
             }
         });
     }
 }
 
-/// Joins what this box knows of a request with what the store has.
+/// Merges the known crashes of a request into its record, with retries.
 async fn write_record(relay: Rc<Relay>, request: RequestKey) {
     let mut backoff = Backoff::with_long_pauses();
-    for _ in 0..TRIES_MAX {
-        match join_once(&relay, request).await {
+    for _ in 0..WRITE_ATTEMPTS_MAX {
+        match try_merge_record(&relay, request).await {
             Ok(true) => return,
             Ok(false) => {}
             Err(error) => {
-                slog::info!(relay.log, "record not written"; "request" => %request,
+                slog::info!(relay.log, "failed to write a quarantine record"; "request" => %request,
                     "error" => %error);
                 backoff.pause().await;
             }
@@ -180,22 +187,26 @@
     }
 }
 
-/// Reads the record, joins it, and writes it where this box knows more. False where another box wrote it meanwhile.
-async fn join_once(relay: &Rc<Relay>, request: RequestKey) -> Result<bool, StoreError> {
+/// Reads the record, applies its crashes, and writes it if this box knows more of them. Returns false if another box wrote
+/// it in the meantime.
+async fn try_merge_record(relay: &Rc<Relay>, request: RequestKey) -> Result<bool, StoreError> {
     let key = key_of(request);
     let item = relay.store.get(&key).await?;
-    let read = item.as_ref().and_then(|item| relay.decode_record(item));
-    let recorded = read.map_or(Record::default(), |(_, record)| record);
-    let news = relay.take_ends(&recorded.ends(request), "store");
-    relay.tell_ends(&news);
-    let known = relay
+    let decoded = item.as_ref().and_then(|item| relay.decode_record(item));
+    let recorded = decoded.map_or(Record::default(), |(_, record)| record);
+    let new_crashes = relay.apply_crashes(&recorded.crashes(request), "store");
+    relay.broadcast_crashes(&new_crashes);
+    let known_crashes = relay
         .quarantine
         .borrow()
         .crashes_of(request, relay.now_ms());
-    if known.iter().all(|end| recorded.has(end.target)) {
+    if known_crashes
+        .iter()
+        .all(|crash| recorded.contains(crash.target))
+    {
         return Ok(true);
     }
-    let value = serde_json::to_vec(&Record::of(&known))
+    let value = serde_json::to_vec(&Record::from_crashes(&known_crashes))
         .map_err(|error| StoreError::NotDone(error.to_string()))?;
     let lease = relay.store.grant_lease(LEASE_S).await?;
     let transaction = Transaction {
@@ -205,8 +216,8 @@
         }],
         writes: vec![Write::Put { key, value, lease }],
     };
-    let written = relay.store.transact(&transaction).await?;
-    Ok(matches!(written, TransactionResult::Done { .. }))
+    let result = relay.store.transact(&transaction).await?;
+    Ok(matches!(result, TransactionResult::Done { .. }))
 }
 
 #[cfg(test)]
--- a/components/relay/src/quarantine/record_tests.rs
+++ b/components/relay/src/quarantine/record_tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// How often a box reads records within 10 s while the store turns it away; it reads so many times less often than where
-/// boxes are few.
-fn reads_turned_away(times: u32) -> usize {
+/// Number of reads of one box within 10 s while the store refuses all of them. `interval_factor` is that of the fleet's
+/// size.
+fn read_attempts_during_outage(interval_factor: u32) -> usize {
     let mut backoff = Backoff::with_long_pauses();
-    let mut at = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let mut reads = 0;
-    while at < Duration::from_secs(10) {
+    while elapsed < Duration::from_secs(10) {
         reads += 1;
-        at += pause_of_refused(&mut backoff, times);
+        elapsed += pause_after_failed_read(&mut backoff, interval_factor);
     }
     reads
 }
 
 #[test]
-fn the_more_boxes_there_are_the_less_often_each_asks_a_store_that_turns_it_away() {
-    assert_eq!(reads_turned_away(1), 7);
-    assert!(reads_turned_away(4) <= 5);
-    assert!(reads_turned_away(16) <= 3);
+fn boxes_of_a_larger_fleet_retry_failed_reads_less_often() {
+    assert_eq!(read_attempts_during_outage(1), 7);
+    assert!(read_attempts_during_outage(4) <= 5);
+    assert!(read_attempts_during_outage(16) <= 3);
 }
--- a/components/relay/src/quarantine/withhold.rs
+++ b/components/relay/src/quarantine/withhold.rs
@@ -1,7 +1,7 @@
-//! Which requests go to no target, as too many ended under them.
+//! Withholds requests that crashed too many targets.
 
 use crate::ingress::request::{Incoming, LocalReply};
-use crate::quarantine::record::RECORDED_MIN;
+use crate::quarantine::record::RECORDED_CRASHES_MIN;
 use crate::state::Relay;
 use operators::WithheldView;
 use prelude::{AccountId, RequestKey, TargetEnd};
@@ -9,15 +9,15 @@
 use std::rc::Rc;
 
 impl Relay {
-    /// The answer to a request under which too many targets ended; none where it may be sent on. It stands before each send, not
-    /// each try: second sends and tries beside the first end targets too.
+    /// The reply to a withheld request; none if the request may be sent to a target. Checked before every send, also of
+    /// retries and hedged requests, because these crash targets too.
     pub(crate) fn withheld_reply(&self, incoming: &Incoming) -> Option<LocalReply> {
         let is_on = self.settings().has(Mechanism::Quarantine);
-        let withholds = self
+        let is_withheld = self
             .quarantine
             .borrow()
             .is_withheld(incoming.key, self.now_ms());
-        if !is_on || !withholds {
+        if !is_on || !is_withheld {
             return None;
         }
         slog::info!(self.log, "request withheld"; "id" => incoming.id(),
@@ -26,79 +26,84 @@
         Some(LocalReply::Withheld)
     }
 
-    /// Notes that a request was answered well: targets survive it.
+    /// Records a successful answer to a request: a target survived it, which acquits the request.
     pub(crate) fn record_served_request(self: &Rc<Self>, request: RequestKey) {
         let now_ms = self.now_ms();
-        let ends = self.quarantine.borrow().crashes_of(request, now_ms).len();
+        let crashes = self.quarantine.borrow().crashes_of(request, now_ms).len();
         let acquittal = self.quarantine.borrow_mut().record_answer(request, now_ms);
-        // One end alone withholds nothing anywhere: most are of requests that stood beside, and telling each would cost more.
-        if let Some(acquittal) = acquittal.filter(|_| ends >= RECORDED_MIN) {
+        // A single crash withholds a request on no box. Most requests with one crash did not cause it, and a broadcast for
+        // each of them would cost more than it saves.
+        if let Some(acquittal) = acquittal.filter(|_| crashes >= RECORDED_CRASHES_MIN) {
             slog::info!(self.log, "request acquitted by an answer"; "request" => %request,
-                "ends" => ends);
-            self.tell_acquittal(acquittal);
+                "ends" => crashes);
+            self.broadcast_acquittal(acquittal);
         }
     }
 
-    /// Clears a request by an operator's word, on all boxes. False where nothing is known of it.
+    /// Clears a request on all boxes, by order of an operator. Returns false if the request is unknown.
     pub(crate) fn clear_request(self: &Rc<Self>, request: RequestKey) -> bool {
         let acquittal = self.quarantine.borrow_mut().clear(request, self.now_ms());
         let Some(acquittal) = acquittal else {
             return false;
         };
         slog::info!(self.log, "request cleared by an operator"; "request" => %request);
-        self.tell_acquittal(acquittal);
+        self.broadcast_acquittal(acquittal);
         true
     }
 
-    /// Notes that a target ended under requests, by this box's own sight, and tells the others.
-    pub(super) fn ended_under(self: &Rc<Self>, name: &str, ends: &[TargetEnd]) {
-        for end in ends {
-            slog::info!(self.log, "target ended under a request"; "request" => %end.request,
-                "target" => name, "ran_ms" => end.ran_ms);
+    /// Records crashes that this box observed itself, broadcasts them, and stores them.
+    pub(super) fn report_crashes(self: &Rc<Self>, name: &str, crashes: &[TargetEnd]) {
+        for crash in crashes {
+            slog::info!(self.log, "target ended under a request"; "request" => %crash.request,
+                "target" => name, "ran_ms" => crash.ran_ms);
             metrics::counter!("shuntpier_targets_ended_under_requests").increment(1);
         }
-        let news = self.take_ends(ends, "own");
-        self.tell_ends(&news);
-        self.keep_record(&news);
+        let new_crashes = self.apply_crashes(crashes, "own");
+        self.broadcast_crashes(&new_crashes);
+        self.store_crashes(&new_crashes);
     }
 
-    /// Takes ends in. Gives those that are news.
-    pub(super) fn take_ends(&self, ends: &[TargetEnd], source: &'static str) -> Vec<TargetEnd> {
+    /// Applies crashes to the quarantine; returns those that were not known.
+    pub(super) fn apply_crashes(
+        &self,
+        crashes: &[TargetEnd],
+        source: &'static str,
+    ) -> Vec<TargetEnd> {
         let now_ms = self.now_ms();
-        let mut news = Vec::new();
-        for end in ends {
-            let before = self.quarantine.borrow().is_withheld(end.request, now_ms);
-            if self.quarantine.borrow_mut().record_crash(end, now_ms) {
-                news.push(*end);
+        let mut new_crashes = Vec::new();
+        for crash in crashes {
+            let was_withheld = self.quarantine.borrow().is_withheld(crash.request, now_ms);
+            if self.quarantine.borrow_mut().record_crash(crash, now_ms) {
+                new_crashes.push(*crash);
             }
             let quarantine = self.quarantine.borrow();
-            if !before && quarantine.is_withheld(end.request, now_ms) {
-                slog::warn!(self.log, "request to be withheld"; "request" => %end.request,
-                    "source" => source, "targets_ended" => quarantine.crashes_of(end.request, now_ms).len());
+            if !was_withheld && quarantine.is_withheld(crash.request, now_ms) {
+                slog::warn!(self.log, "request to be withheld"; "request" => %crash.request,
+                    "source" => source, "targets_ended" => quarantine.crashes_of(crash.request, now_ms).len());
             }
         }
-        let withheld = self.quarantine.borrow().withheld_requests(now_ms).len();
-        metrics::gauge!("shuntpier_withheld_requests").set(withheld as f64);
-        news
+        let withheld_count = self.quarantine.borrow().withheld_requests(now_ms).len();
+        metrics::gauge!("shuntpier_withheld_requests").set(withheld_count as f64);
+        new_crashes
     }
 
-    /// The requests that are withheld, for operators.
+    /// The withheld requests, for the operators' view.
     pub(crate) fn withheld_views(&self) -> Vec<WithheldView> {
-        let rows = self.quarantine.borrow().withheld_requests(self.now_ms());
-        let view = |row: policy::WithheldRequest| WithheldView {
-            request: row.request.to_string(),
-            account: self.account_named(row.request.account),
-            targets_ended: row.crashes,
-            left_s: row.remaining_ms as f64 / 1000.0,
+        let requests = self.quarantine.borrow().withheld_requests(self.now_ms());
+        let view = |withheld: policy::WithheldRequest| WithheldView {
+            request: withheld.request.to_string(),
+            account: self.declared_account_name(withheld.request.account),
+            targets_ended: withheld.crashes,
+            left_s: withheld.remaining_ms as f64 / 1000.0,
         };
-        rows.into_iter().map(view).collect()
+        requests.into_iter().map(view).collect()
     }
 
-    /// The name of an account that is still declared.
-    fn account_named(&self, account: AccountId) -> Option<String> {
+    /// The name of an account; none if it is no longer declared.
+    fn declared_account_name(&self, account: AccountId) -> Option<String> {
         let declared = self.declared()?;
         let mut accounts = declared.table.accounts.iter();
-        let named = accounts.find(|rule| AccountId::from_name(&rule.name) == account);
-        named.map(|rule| rule.name.to_string())
+        let rule = accounts.find(|rule| AccountId::from_name(&rule.name) == account);
+        rule.map(|rule| rule.name.to_string())
     }
 }
--- a/components/relay/src/state.rs
+++ b/components/relay/src/state.rs
@@ -12,7 +12,7 @@
 use crate::membership::load_shedding::LoadShedding;
 use crate::membership::members::Members;
 use crate::membership::missing::MissingChanges;
-use crate::quarantine::broken::BrokenRuns;
+use crate::quarantine::broken_runs::BrokenRuns;
 use crate::rate_limit::state::RateLimits;
 use crate::watch::election::{FollowedViews, View};
 use crate::watch::evacuation::Evacuation;
