--- a/components/relay/src/rate_limit/broadcast.rs
+++ b/components/relay/src/rate_limit/broadcast.rs
@@ -1,4 +1,5 @@
-//! How a limit reaches all boxes: whoever has it from the target sends it to the target's coordinator, which sends it to all.
+//! Broadcast of rate limits. A box that observes a limit in a target's answer sends it to the target's coordinator, which
+//! broadcasts it to all boxes.
 
 use crate::membership::broadcast::broadcast_gossip;
 use crate::membership::gossip::gossip_message;
@@ -10,30 +11,31 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long limits are collected before they are sent.
-const COLLECTED_FOR: Duration = Duration::from_millis(10);
-/// How long a box waits that has sent as often as it may.
-const WITHHELD_FOR: Duration = Duration::from_millis(250);
-/// Longest time for a call.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// Limits of one message.
-const SENT_MAX: usize = 256;
+/// How long limits are collected into one broadcast.
+const COLLECTION_DELAY: Duration = Duration::from_millis(10);
+/// How long a box waits when its broadcast budget is used up.
+const BUDGET_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Timeout of a call to a peer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Most limits in one broadcast.
+const RATES_PER_MESSAGE_MAX: usize = 256;
 
 impl Relay {
-    /// Has all boxes hear of a target's limit; `is_own` where this box has it from the target itself.
-    pub(super) fn broadcast_rate(self: &Rc<Self>, slot: TargetSlot, is_own: bool) {
+    /// Sends a target's limit to all boxes by way of its coordinator. `is_from_target` is set if this box observed it in the
+    /// target's own answer; a limit reported by a peer is sent only by the coordinator.
+    pub(super) fn broadcast_rate(self: &Rc<Self>, slot: TargetSlot, is_from_target: bool) {
         let Some(coordinator) = self.rate_coordinator(slot) else {
             return;
         };
         if coordinator != self.id {
-            if is_own {
+            if is_from_target {
                 let relay = self.clone();
                 spawn_local(async move { relay.send_rate_to_coordinator(slot).await });
             }
             return;
         }
-        self.rate_limits.pending.borrow_mut().insert(slot);
-        if !self.rate_limits.sending.replace(true) {
+        self.rate_limits.pending_rates.borrow_mut().insert(slot);
+        if !self.rate_limits.is_sending.replace(true) {
             let relay = self.clone();
             spawn_local(async move { relay.send_pending_rates().await });
         }
@@ -48,32 +50,40 @@
         message.rates = vec![rate];
         let call = self
             .peers
-            .call(coordinator, CALL_LIMIT, |client, context| async move {
+            .call(coordinator, CALL_TIMEOUT, |client, context| async move {
                 client.tell(context, message).await
             });
         self.record_peer_result(coordinator, call.await, "rate limit");
     }
 
     async fn send_pending_rates(self: &Rc<Self>) {
-        sleep(COLLECTED_FOR).await;
-        while !self.rate_limits.pending.borrow().is_empty() {
+        sleep(COLLECTION_DELAY).await;
+        while !self.rate_limits.pending_rates.borrow().is_empty() {
             let boxes = self.members.borrow().peak_box_count();
             let now_ms = self.now_ms();
-            let may_send = self.rate_limits.budget.borrow_mut().try_take(boxes, now_ms);
+            let may_send = self
+                .rate_limits
+                .send_budget
+                .borrow_mut()
+                .try_take(boxes, now_ms);
             if !may_send {
-                sleep(WITHHELD_FOR).await;
+                sleep(BUDGET_RETRY_DELAY).await;
                 continue;
             }
             let mut message = gossip_message(self);
             message.rates = self.take_pending_rates();
             broadcast_gossip(self, &message);
         }
-        self.rate_limits.sending.set(false);
+        self.rate_limits.is_sending.set(false);
     }
 
     fn take_pending_rates(&self) -> Vec<TargetRate> {
-        let mut pending = self.rate_limits.pending.borrow_mut();
-        let slots: Vec<TargetSlot> = pending.iter().copied().take(SENT_MAX).collect();
+        let mut pending = self.rate_limits.pending_rates.borrow_mut();
+        let slots: Vec<TargetSlot> = pending
+            .iter()
+            .copied()
+            .take(RATES_PER_MESSAGE_MAX)
+            .collect();
         for slot in &slots {
             pending.remove(slot);
         }
--- a/components/relay/src/rate_limit/mod.rs
+++ b/components/relay/src/rate_limit/mod.rs
@@ -1,4 +1,5 @@
-//! Rate limits that targets announce: what is known of them, who grants the tokens of which target, and how a call gets one.
+//! Rate limits that targets announce: observes them, shares them between boxes, and grants rate tokens to calls. Each target
+//! has one coordinator box that grants its tokens.
 
 pub(crate) mod announced;
 mod broadcast;
--- a/components/relay/src/rate_limit/state.rs
+++ b/components/relay/src/rate_limit/state.rs
@@ -1,68 +1,71 @@
-//! What a box keeps for rate limits.
+//! Rate limit state of a box.
 
-use crate::rate_limit::coordinator::Grants;
+use crate::rate_limit::coordinator::TokenGrants;
 use crate::watch::targets::TargetSlot;
 use policy::{AnnouncedRate, FallbackShare, HintBudget, RateObservation};
 use prelude::TargetId;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 
-/// A limit that differs by no more than this share from the one that others were sent is not sent again.
-const SAME_SHARE: f64 = 0.2;
+/// A limit is published again only if it differs from the last published one by more than this share.
+const CHANGE_TOLERANCE: f64 = 0.2;
 
-/// The rate limit of one life of a target, as this box knows it.
+/// The rate limit of one incarnation of a target, as this box knows it.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRateLimit {
-    /// What its answers announced.
+    /// The limit that the target announced in its answers.
     pub announced: AnnouncedRate,
-    /// Since when a limit is known.
+    /// When this box first learned of a limit, on its clock.
     pub limited_since_ms: u64,
-    /// The limit when it was last logged, and sent to other boxes.
-    shown_per_s: Option<f64>,
-    /// What this box may send while it reaches no coordinator.
-    pub share: FallbackShare,
-    /// There are no tokens until then, by the coordinator's last answer.
+    /// The limit, per second, that was last logged and sent to other boxes.
+    published_per_s: Option<f64>,
+    /// This box's own share of the limit, used while it reaches no coordinator.
+    pub fallback_share: FallbackShare,
+    /// No tokens are available before this time, according to the last denial.
     pub no_token_until_ms: u64,
 }
 
 impl TargetRateLimit {
-    /// Takes a word in. Says whether the limit changed.
-    pub(super) fn observe(&mut self, word: RateObservation, now_ms: u64) -> bool {
+    /// Applies an observation. Returns whether the limit changed.
+    pub(super) fn observe(&mut self, observation: RateObservation, now_ms: u64) -> bool {
         let was_limited = self.announced.is_limited();
-        let is_changed = self.announced.observe(word, now_ms);
+        let is_changed = self.announced.observe(observation, now_ms);
         if !was_limited {
             self.limited_since_ms = now_ms;
         }
         is_changed
     }
 
-    /// The limit that is to be shown now, and the one that was shown before; none where they are much the same.
-    pub(super) fn take_shown(&mut self) -> Option<(Option<f64>, Option<f64>)> {
-        let word = self.announced.effective();
-        let limit_per_s = word.and_then(|word| word.limit_per_s);
-        let is_same = match (limit_per_s, self.shown_per_s) {
-            (Some(limit), Some(shown)) => (limit - shown).abs() <= shown * SAME_SHARE,
-            (limit, shown) => limit == shown,
+    /// The limit to publish now and the one published before, both per second. None if they differ by no more than the
+    /// tolerance.
+    pub(super) fn take_change(&mut self) -> Option<(Option<f64>, Option<f64>)> {
+        let observation = self.announced.effective();
+        let limit_per_s = observation.and_then(|observation| observation.limit_per_s);
+        let is_unchanged = match (limit_per_s, self.published_per_s) {
+            (Some(limit), Some(published)) => {
+                (limit - published).abs() <= published * CHANGE_TOLERANCE
+            }
+            (limit, published) => limit == published,
         };
-        if is_same {
+        if is_unchanged {
             return None;
         }
-        let before = std::mem::replace(&mut self.shown_per_s, limit_per_s);
+        let before = std::mem::replace(&mut self.published_per_s, limit_per_s);
         Some((limit_per_s, before))
     }
 }
 
-/// What a box keeps for all targets.
+/// Rate limit state of a box across all targets.
 #[derive(Default)]
 pub(crate) struct RateLimits {
-    /// The tokens of the targets whose coordinator this box is.
-    pub(super) grants: RefCell<HashMap<TargetId, Grants>>,
-    /// Limits that are to be sent to all boxes.
-    pub(super) pending: RefCell<HashSet<TargetSlot>>,
-    /// They are being sent.
-    pub(super) sending: Cell<bool>,
-    /// How often this box sends limits to all boxes.
-    pub(super) budget: RefCell<HintBudget>,
-    /// When a coordinator that another box passed over was last called.
-    pub(super) checked_ms: Cell<u64>,
+    /// Token grants of the targets that this box coordinates.
+    pub(super) grants: RefCell<HashMap<TargetId, TokenGrants>>,
+    /// Targets whose limits are to be broadcast.
+    pub(super) pending_rates: RefCell<HashSet<TargetSlot>>,
+    /// A task that broadcasts the pending limits is running.
+    pub(super) is_sending: Cell<bool>,
+    /// Limits how often this box broadcasts.
+    pub(super) send_budget: RefCell<HintBudget>,
+    /// When this box last checked a coordinator that another box considers unreachable.
+    pub(super) last_check_ms: Cell<u64>,
 }
--- a/components/relay/src/rate_limit/token.rs
+++ b/components/relay/src/rate_limit/token.rs
@@ -1,5 +1,5 @@
-//! How a call to a target with a rate limit gets its token: from the target's coordinator, or from this box's own share
-//! where it reaches none.
+//! Acquires the rate token of a call to a target with a rate limit: from the target's coordinator, or from this box's own
+//! share of the limit if it reaches no coordinator.
 
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
@@ -8,43 +8,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What an answer may take beyond the time that the call waits there.
+/// Added to the time that a call may wait at the coordinator, for the round trip of the request.
 const CALL_SLACK: Duration = Duration::from_millis(120);
-/// How long a denial keeps other calls of this box from asking for the same target.
-const DENIED_FOR_MS: u64 = 250;
+/// How long, at most, a denial keeps other calls of this box from requesting a token for the same target.
+const DENIAL_CACHE_MS: u64 = 250;
 
-/// A call that needs a token.
+/// A call's request for a rate token.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenRequest {
-    /// Whose call it is.
+    /// The client account of the call.
     pub account: AccountId,
-    /// 0 for the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// How long it may wait.
+    /// How long the call may wait for a token, in ms.
     pub wait_ms: u64,
-    /// Its caller is sent away where it gets none.
+    /// Whether the call fails if it gets no token.
     pub is_last_try: bool,
 }
 
 impl Relay {
-    /// Gets the token of one call, where its target has a rate limit.
+    /// Acquires a rate token for one call; does nothing if the target has no rate limit.
     ///
     /// # Errors
-    /// When there may be one, from now.
+    /// After how many ms a token may be available, if the request is denied.
     pub(crate) async fn acquire_rate_token(
         self: &Rc<Self>,
         slot: TargetSlot,
-        ask: &TokenRequest,
+        token_request: &TokenRequest,
     ) -> Result<(), u64> {
         let now_ms = self.now_ms();
         let Some(no_token_until_ms) = self.no_token_until_ms(slot, now_ms) else {
             return Ok(());
         };
-        if no_token_until_ms > now_ms && !ask.is_last_try {
+        if no_token_until_ms > now_ms && !token_request.is_last_try {
             return Err(no_token_until_ms - now_ms);
         }
-        let reply = self.ask_coordinator(slot, ask).await;
-        let is_coordinated = matches!(
+        let reply = self.request_from_coordinator(slot, token_request).await;
+        let has_coordinator = matches!(
             reply,
             Some(RateTokenReply::Granted | RateTokenReply::Denied { .. })
         );
@@ -52,31 +52,31 @@
             .targets
             .borrow_mut()
             .get_mut(slot)
-            .filter(|_| is_coordinated)
+            .filter(|_| has_coordinator)
         {
-            target.rate_limit.share.reset();
+            target.rate_limit.fallback_share.reset();
         }
         let outcome = match reply {
             Some(RateTokenReply::Granted) => Ok(()),
             Some(RateTokenReply::Denied { retry_after_ms }) => Err(u64::from(retry_after_ms)),
             Some(RateTokenReply::NotLimited(rate)) => {
                 self.observe_peer_rate(&rate, self.now_ms() - now_ms);
-                self.take_own_token(slot)
+                self.take_fallback_token(slot)
             }
-            Some(RateTokenReply::NotCoordinator) | None => self.take_own_token(slot),
+            Some(RateTokenReply::NotCoordinator) | None => self.take_fallback_token(slot),
         };
-        let word = match outcome {
+        let label = match outcome {
             Ok(()) => "granted",
             Err(_) => "denied",
         };
-        metrics::counter!("shuntpier_rate_tokens", "outcome" => word).increment(1);
+        metrics::counter!("shuntpier_rate_tokens", "outcome" => label).increment(1);
         if let Err(retry_after_ms) = outcome {
-            self.note_denied(slot, retry_after_ms);
+            self.record_denial(slot, retry_after_ms);
         }
         outcome
     }
 
-    /// Until when there are no tokens for a target, as far as is known; none where it has no limit.
+    /// Until when no tokens are available for a target, according to the last denial; none if it has no limit.
     fn no_token_until_ms(&self, slot: TargetSlot, now_ms: u64) -> Option<u64> {
         let targets = self.targets.borrow();
         let limit = &targets.get(slot)?.rate_limit;
@@ -84,33 +84,33 @@
         Some(limit.no_token_until_ms)
     }
 
-    fn note_denied(&self, slot: TargetSlot, retry_after_ms: u64) {
-        let until_ms = self.now_ms() + retry_after_ms.min(DENIED_FOR_MS);
+    fn record_denial(&self, slot: TargetSlot, retry_after_ms: u64) {
+        let until_ms = self.now_ms() + retry_after_ms.min(DENIAL_CACHE_MS);
         if let Some(target) = self.targets.borrow_mut().get_mut(slot) {
             target.rate_limit.no_token_until_ms = until_ms;
         }
     }
 
-    async fn ask_coordinator(
+    async fn request_from_coordinator(
         self: &Rc<Self>,
         slot: TargetSlot,
-        ask: &TokenRequest,
+        token_request: &TokenRequest,
     ) -> Option<RateTokenReply> {
         let coordinator = self.rate_coordinator(slot)?;
         let request = RateTokenRequest {
             rate: self.target_rate(slot)?,
-            account: ask.account,
-            rank: ask.rank,
-            wait_ms: ask.wait_ms as u32,
-            is_last_try: ask.is_last_try,
+            account: token_request.account,
+            rank: token_request.rank,
+            wait_ms: token_request.wait_ms as u32,
+            is_last_try: token_request.is_last_try,
         };
         match coordinator == self.id {
             true => Some(self.grant_rate_token(&request).await),
-            false => self.ask_box(coordinator, request).await,
+            false => self.request_from_box(coordinator, request).await,
         }
     }
 
-    async fn ask_box(
+    async fn request_from_box(
         self: &Rc<Self>,
         coordinator: BoxId,
         request: RateTokenRequest,
@@ -124,8 +124,8 @@
         self.record_peer_result(coordinator, call.await, "rate token")
     }
 
-    /// Takes a token from this box's own share of a limit.
-    fn take_own_token(&self, slot: TargetSlot) -> Result<(), u64> {
+    /// Takes a token from this box's own share of the limit.
+    fn take_fallback_token(&self, slot: TargetSlot) -> Result<(), u64> {
         let now_ms = self.now_ms();
         let boxes = self.members.borrow().peak_box_count();
         let Some(rate_per_s) = self.rate_limit_of(slot) else {
@@ -136,7 +136,7 @@
         let Some(target) = targets.get_mut(slot) else {
             return Ok(());
         };
-        let share = &mut target.rate_limit.share;
-        share.try_take(rate_per_s, boxes, rand::random(), now_ms)
+        let fallback_share = &mut target.rate_limit.fallback_share;
+        fallback_share.try_take(rate_per_s, boxes, rand::random(), now_ms)
     }
 }
