--- a/components/relay/src/forwarding/admission.rs
+++ b/components/relay/src/forwarding/admission.rs
@@ -2,7 +2,7 @@
 //! before sending.
 
 use crate::forwarding::send::NotRun;
-use crate::rate_limit::token::TokenAsk;
+use crate::rate_limit::token::TokenRequest;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SendKind {
     /// A plain call.
-    Call(TokenAsk),
+    Call(TokenRequest),
     /// A new generation, placed on the target by its dispatcher within the target's rate limit.
     Generation,
     /// A running generation that resumes at the target it is moved to.
@@ -57,7 +57,7 @@
         }
         if let SendKind::Call(token_request) = kind {
             admission.is_rate_counted = self.rate_limit_of(slot).is_some();
-            let token = self.take_rate_token(slot, &token_request).await;
+            let token = self.acquire_rate_token(slot, &token_request).await;
             token.map_err(|retry_after_ms| NotRun::RateLimited { retry_after_ms })?;
         }
         Ok(admission)
--- a/components/relay/src/forwarding/call.rs
+++ b/components/relay/src/forwarding/call.rs
@@ -209,7 +209,7 @@
     if now_ms >= deadline_ms || attempts.attempted.len() >= MAX_ATTEMPTS {
         return None;
     }
-    if attempts.runs > 0 && (!may_run_again || relay.withheld(incoming).is_some()) {
+    if attempts.runs > 0 && (!may_run_again || relay.withheld_reply(incoming).is_some()) {
         return None;
     }
     let service = &resolved.service().name;
--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -1,6 +1,7 @@
 //! Serves generations: acquires a permit, starts the generation at one engine and streams its events to the caller. A
 //! generation whose engine leaves resumes at another (see [`crate::migration::migrator`]).
 
+use crate::buffered::BufferReservation;
 use crate::dispatch::dispatcher::refusal;
 use crate::dispatch::permits::{Permit, PermitDemand};
 use crate::forwarding::admission::SendKind;
@@ -10,12 +11,11 @@
     NotRun, OpenResponse, OutgoingRequest, SendResult, UNREPEATABLE_MAX_IDLE_MS,
 };
 use crate::forwarding::stream::StreamForwarder;
-use crate::held::Held;
 use crate::ingress::accept::{ChannelAction, count_response, write_reply};
 use crate::ingress::request::{IncomingRequest, LocalReply, Reply, ResolvedRoute};
 use crate::ingress::stopping::refuse_if_stopping;
 use crate::membership::gossip::broadcast_digest;
-use crate::quarantine::broken::Break;
+use crate::quarantine::broken_runs::RunFailure;
 use crate::state::Relay;
 use crate::watch::targets::{Target, TargetSlot};
 use http1::Channel;
@@ -111,7 +111,7 @@
 ) -> ChannelAction {
     let status = response.head.status;
     let verified = response.is_verified() && status != 200;
-    let mut memory = Held::new(&relay.memory, Some(resolved.account_id()));
+    let mut memory = BufferReservation::new(&relay.memory, Some(resolved.account_id()));
     let due_ms = incoming.deadline_ms(resolved.route());
     let left = Duration::from_millis(due_ms.saturating_sub(relay.now_ms()));
     let body_result = timeout(left, response.read_body(&mut memory)).await;
@@ -129,7 +129,7 @@
         }
         body_result => {
             let local = match body_result {
-                Err(_) if memory.is_waiting() => {
+                Err(_) if memory.is_blocked() => {
                     metrics::counter!("shuntpier_answers_without_memory").increment(1);
                     LocalReply::MayHaveRun(NO_MEMORY)
                 }
@@ -227,7 +227,7 @@
             broadcast_digest(relay);
             continue;
         }
-        if let Some(local) = relay.withheld(incoming) {
+        if let Some(local) = relay.withheld_reply(incoming) {
             // The request was quarantined while it waited for its permit.
             return StartResult::LocalReply(local);
         }
@@ -235,7 +235,7 @@
         let sending = send_generation(relay, incoming, resolved, slot, None, SendKind::Generation);
         let monitored = report_if_silent(relay, &permit, FIRST_RESPONSE_TIMEOUT, sending);
         let Ok(result) = timeout_at(until, monitored).await else {
-            relay.run_broke(incoming.key, slot, granted_ms, Break::Silent);
+            relay.record_broken_run(incoming.key, slot, granted_ms, RunFailure::Silent);
             return StartResult::LocalReply(LocalReply::DeadlineExceeded);
         };
         relay.record_outcome(slot, outcome_of(&result));
@@ -255,7 +255,12 @@
                 return StartResult::OpenResponse(response, permit);
             }
             SendResult::MayHaveRun(why) => {
-                relay.run_broke(incoming.key, slot, granted_ms, Break::Closed);
+                relay.record_broken_run(
+                    incoming.key,
+                    slot,
+                    granted_ms,
+                    RunFailure::ConnectionClosed,
+                );
                 return StartResult::LocalReply(LocalReply::MayHaveRun(why));
             }
             SendResult::NotRun(why) => {
--- a/components/relay/src/forwarding/send.rs
+++ b/components/relay/src/forwarding/send.rs
@@ -1,8 +1,8 @@
 //! Sends one request to one target, and is the only place that decides whether it ran: not run (the target said so, no
 //! channel could be opened, or nothing was written), answered, or possibly run.
 
+use crate::buffered::BufferReservation;
 use crate::forwarding::admission::Admission;
-use crate::held::Held;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
@@ -219,7 +219,7 @@
         if response.metadata.is_not_run {
             let retry_after_ms = response.metadata.retry_after_ms.value();
             // The short body is read only to make the channel reusable, so errors are ignored.
-            let mut memory = Held::new(&self.memory, None);
+            let mut memory = BufferReservation::new(&self.memory, None);
             let _ = response.read_body(&mut memory).await;
             response.recycle_channel(self);
             return SendResult::NotRun(NotRun::Refused { retry_after_ms });
@@ -298,13 +298,13 @@
 }
 
 /// Reserves memory for `more` bytes of a response, waiting until it is available.
-async fn reserve(memory: &mut Held, more: u64) -> Result<(), &'static str> {
+async fn reserve(memory: &mut BufferReservation, more: u64) -> Result<(), &'static str> {
     let bytes = memory.bytes() + more;
-    if bytes > MAX_RESPONSE_BYTES as u64 || !memory.could_hold(bytes) {
+    if bytes > MAX_RESPONSE_BYTES as u64 || !memory.could_fit(bytes) {
         return Err(ANSWER_TOO_LONG);
     }
     if more > 0 {
-        memory.wait(more).await;
+        memory.reserve(more).await;
     }
     Ok(())
 }
@@ -332,7 +332,10 @@
     }
 
     /// Buffers the whole body. While no memory is available, the channel is not read.
-    pub(crate) async fn read_body(&mut self, memory: &mut Held) -> Result<Bytes, &'static str> {
+    pub(crate) async fn read_body(
+        &mut self,
+        memory: &mut BufferReservation,
+    ) -> Result<Bytes, &'static str> {
         if let Framing::Length(length) = self.framing {
             // The whole length is reserved at once: two responses that each hold half of their memory would deadlock.
             reserve(memory, length).await?;
@@ -355,7 +358,7 @@
     async fn next_reserved(
         &mut self,
         read: usize,
-        memory: &mut Held,
+        memory: &mut BufferReservation,
     ) -> Result<Option<Bytes>, &'static str> {
         let Some(more) = self.next().await? else {
             return Ok(None);
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -1,5 +1,7 @@
 //! Forwards the events of one generation to its caller, across moves between engines.
 
+use crate::buffered::deliver::wait_writable;
+use crate::buffered::unsent::Unsent;
 use crate::dispatch::completion::CompletionSample;
 use crate::dispatch::permits::Permit;
 use crate::forwarding::admission::SendKind;
@@ -8,13 +10,11 @@
 use crate::forwarding::pauses::{PauseCause, Pauses};
 use crate::forwarding::send::{OpenResponse, SendResult};
 use crate::forwarding::stream_end::{StreamEnd, deliver_partial, deliver_remaining};
-use crate::held::deliver::ready;
-use crate::held::unsent::Unsent;
 use crate::ingress::accept::{ChannelAction, count_response, write_reply};
 use crate::ingress::request::{IncomingRequest, LocalReply, Reply, ResolvedRoute};
 use crate::migration::migrated_copy::MigratedCopy;
 use crate::migration::migrator::{MigrationStep, Migrator};
-use crate::quarantine::broken::Break;
+use crate::quarantine::broken_runs::RunFailure;
 use crate::state::Relay;
 use http1::{Channel, Framing, push_chunk};
 use peers::EngineFault;
@@ -91,7 +91,7 @@
         let is_complete = ended == StreamEnd::Whole;
         if is_complete {
             self.permit.mark_finished();
-            self.relay.served(self.incoming.key);
+            self.relay.record_served_request(self.incoming.key);
             self.record_completion();
         }
         slog::info!(self.relay.log, "generation ended"; "id" => self.incoming.id(), "request" => %self.incoming.key,
@@ -99,7 +99,7 @@
             "end" => ?ended, "events" => self.events, "moves" => self.moves,
             "first_event_ms" => self.first_event_ms, "longest_pause_ms" => self.pauses.longest_ms(),
             "longest_pause_in" => ?self.pauses.longest_cause(),
-            "unsent_bytes_most" => self.unsent.most_bytes(),
+            "unsent_bytes_most" => self.unsent.peak_bytes(),
             "late" => self.exceeds_answer_goal(), "paused" => self.exceeds_pause_goal(),
             "after_ms" => self.relay.now_ms() - self.incoming.arrived_ms);
         metrics::counter!("shuntpier_generations", "end" => ended.label()).increment(1);
@@ -180,7 +180,7 @@
         let mut was_reading = true;
         loop {
             let wants_write = !self.unsent.is_empty();
-            let wants_read = self.unsent.may_read();
+            let wants_read = self.unsent.can_read();
             if wants_read && !was_reading {
                 // The engine was not read in the meantime, so its silence does not count.
                 silent_at = Instant::now() + SILENCE_TIMEOUT;
@@ -193,7 +193,7 @@
             was_reading = wants_read;
             let step = tokio::select! {
                 biased;
-                is_connected = ready(caller, wants_write) => {
+                is_connected = wait_writable(caller, wants_write) => {
                     let pending = self.splitter.pending_bytes();
                     if !is_connected || self.unsent.write(caller, pending).is_err() {
                         return StreamEnd::CallerLeft;
@@ -202,17 +202,17 @@
                 }
                 () = sleep_until(deadline) => {
                     if suspected {
-                        self.record_break(Break::Silent);
+                        self.record_break(RunFailure::Silent);
                     }
                     return StreamEnd::TimeOver;
                 }
-                () = sleep_until(self.unsent.look_at()), if wants_write => {
-                    if self.unsent.is_over(self.relay, self.incoming.id()) {
+                () = sleep_until(self.unsent.next_check_at()), if wants_write => {
+                    if self.unsent.is_caller_stalled(self.relay, self.incoming.id()) {
                         return StreamEnd::Unread;
                     }
                     None
                 }
-                () = self.unsent.freed(), if !wants_read => None,
+                () = self.unsent.wait_for_room(), if !wants_read => None,
                 step = migrator.next_step(&self.permit, self.incoming.id()) => Some(step),
                 () = sleep_until(silent_at), if !suspected && wants_read => {
                     suspected = true;
@@ -245,7 +245,7 @@
                     }
                     Err(why) => {
                         self.report_fault(EngineFault::Broke);
-                        self.record_break(Break::Closed);
+                        self.record_break(RunFailure::ConnectionClosed);
                         return StreamEnd::Broken(why);
                     }
                 },
@@ -272,20 +272,20 @@
     }
 
     /// Records that the generation broke off at its engine.
-    fn record_break(&self, kind: Break) {
+    fn record_break(&self, kind: RunFailure) {
         let slot = self.permit.slot;
         self.relay
-            .run_broke(self.incoming.key, slot, self.started_ms, kind);
+            .record_broken_run(self.incoming.key, slot, self.started_ms, kind);
     }
 
     /// Checks that a stream that ended is complete.
     fn finish_stream(&mut self, response: OpenResponse) -> StreamEnd {
         if self.splitter.is_within_event() {
-            self.record_break(Break::Closed);
+            self.record_break(RunFailure::ConnectionClosed);
             return StreamEnd::Broken("the stream ended within an event");
         }
         if self.events == 0 {
-            self.record_break(Break::Closed);
+            self.record_break(RunFailure::ConnectionClosed);
             return StreamEnd::Broken("the stream ended without an event");
         }
         response.recycle_channel(self.relay);
@@ -395,7 +395,8 @@
                 SendResult::Answered(_) => break,
                 SendResult::MayHaveRun(_) => {
                     let key = self.incoming.key;
-                    self.relay.run_broke(key, slot, sent_ms, Break::Closed);
+                    self.relay
+                        .record_broken_run(key, slot, sent_ms, RunFailure::ConnectionClosed);
                     break;
                 }
                 SendResult::NotRun(why) => {
--- a/components/relay/src/forwarding/stream_end.rs
+++ b/components/relay/src/forwarding/stream_end.rs
@@ -1,7 +1,7 @@
 //! How a stream ended, and the delivery of its buffered events to the caller.
 
-use crate::held::deliver::Delivered;
-use crate::held::unsent::Unsent;
+use crate::buffered::deliver::Delivered;
+use crate::buffered::unsent::Unsent;
 use crate::ingress::accept::ChannelAction;
 use crate::ingress::request::IncomingRequest;
 use crate::state::Relay;
--- a/components/relay/src/ingress/accept.rs
+++ b/components/relay/src/ingress/accept.rs
@@ -1,9 +1,9 @@
 //! Serves callers' channels: reads one request after another, admits or refuses it, and writes the reply.
 
+use crate::buffered::BufferReservation;
+use crate::buffered::deliver::{Delivered, deliver};
 use crate::forwarding::call::serve_call;
 use crate::forwarding::generation::serve_generation;
-use crate::held::Held;
-use crate::held::deliver::{Delivered, deliver};
 use crate::ingress::read_request::{memory_refusal, read_body, read_head};
 use crate::ingress::request::{IncomingRequest, LocalReply, Reply, ResolvedRoute};
 use crate::ingress::stopping::stop_retry_after_ms;
@@ -97,7 +97,7 @@
         Ok(None) => return ChannelAction::Drop,
         Err(local) => return reject_and_close(relay, channel, local, None).await,
     };
-    let mut memory = Held::new(&relay.memory, None);
+    let mut memory = BufferReservation::new(&relay.memory, None);
     let body = match read_body(channel, &head, relay, limits, &mut memory).await {
         Ok(body) => body,
         Err(Some(local)) => return reject_and_close(relay, channel, local, None).await,
@@ -139,7 +139,7 @@
     relay: &Relay,
     head: RequestHead,
     body: Bytes,
-    mut memory: Held,
+    mut memory: BufferReservation,
     arrived_ms: u64,
 ) -> Result<(IncomingRequest, ResolvedRoute), Rejection> {
     let facts = match parse_request_headers(&head.headers) {
@@ -182,7 +182,7 @@
         account,
         declared: declared.clone(),
     };
-    if !memory.belongs_to(resolved.account_id()) {
+    if !memory.assign_account(resolved.account_id()) {
         return Err((
             memory_refusal("this account's requests hold too much memory"),
             id,
@@ -212,7 +212,7 @@
     incoming: &IncomingRequest,
     resolved: &ResolvedRoute,
 ) -> ChannelAction {
-    if let Some(local) = relay.withheld(incoming) {
+    if let Some(local) = relay.withheld_reply(incoming) {
         count_response(local.status(), "own");
         let reply = Reply::local(local, incoming.facts.request_id.as_deref());
         return write_reply(relay, channel, incoming.id(), reply, false).await;
@@ -273,7 +273,7 @@
 ) -> ChannelAction {
     let closes_channel = closes_channel || relay.should_close_channel();
     let (mut head, body, memory) = reply.into_parts(closes_channel);
-    let memory = memory.unwrap_or_else(|| Rc::new(Held::new(&relay.memory, None)));
+    let memory = memory.unwrap_or_else(|| Rc::new(BufferReservation::new(&relay.memory, None)));
     let joined = body.len() <= MAX_JOINED_BYTES;
     if joined {
         head.extend_from_slice(&body);
--- a/components/relay/src/ingress/request.rs
+++ b/components/relay/src/ingress/request.rs
@@ -1,6 +1,6 @@
 //! A caller's request on this box, its resolved route, and replies.
 
-use crate::held::Held;
+use crate::buffered::BufferReservation;
 use crate::state::Declared;
 use bytes::Bytes;
 use http1::RequestHead;
@@ -17,7 +17,7 @@
     /// Identifies the request by its content, the same for all retries.
     pub key: RequestKey,
     /// Reserves memory for the body.
-    pub _memory: Held,
+    pub _memory: BufferReservation,
     /// When the first byte was read.
     pub arrived_ms: u64,
 }
@@ -169,7 +169,7 @@
     /// Set for a reply that the box made itself; none for a target's.
     pub local: Option<LocalReply>,
     /// Reserves memory for the body; none for the box's own short replies.
-    pub memory: Option<Rc<Held>>,
+    pub memory: Option<Rc<BufferReservation>>,
 }
 
 impl Reply {
@@ -184,7 +184,10 @@
     }
 
     /// The complete head, the body, and the memory reserved for the body.
-    pub(crate) fn into_parts(mut self, closes_channel: bool) -> (Vec<u8>, Bytes, Option<Rc<Held>>) {
+    pub(crate) fn into_parts(
+        mut self,
+        closes_channel: bool,
+    ) -> (Vec<u8>, Bytes, Option<Rc<BufferReservation>>) {
         let length = self.body.len();
         self.head
             .extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
