--- a/components/relay/src/forwarding/attempt.rs
+++ b/components/relay/src/forwarding/attempt.rs
@@ -1,14 +1,14 @@
 //! One attempt to serve a plain request at one target. The response is buffered whole and verified.
 
+use crate::buffered::BufferReservation;
 use crate::forwarding::admission::{Admission, SendKind};
 use crate::forwarding::outcome::TargetOutcome;
 use crate::forwarding::send::{
     ANSWER_TOO_LONG, NotRun, OpenResponse, OutgoingRequest, SendResult, UNREPEATABLE_MAX_IDLE_MS,
 };
-use crate::held::Held;
 use crate::ingress::request::{IncomingRequest, Reply, ResolvedRoute};
-use crate::quarantine::broken::Break;
-use crate::rate_limit::token::TokenAsk;
+use crate::quarantine::broken_runs::RunFailure;
+use crate::rate_limit::token::TokenRequest;
 use crate::state::Relay;
 use crate::watch::targets::TargetSlot;
 use bytes::Bytes;
@@ -39,8 +39,8 @@
     resolved: &ResolvedRoute,
     wait_ms: u64,
     is_last_try: bool,
-) -> TokenAsk {
-    TokenAsk {
+) -> TokenRequest {
+    TokenRequest {
         account: resolved.account_id(),
         rank: resolved.rank(),
         wait_ms,
@@ -55,7 +55,7 @@
     resolved: &ResolvedRoute,
     slot: TargetSlot,
     runs: u32,
-    token_request: TokenAsk,
+    token_request: TokenRequest,
 ) -> AttemptResult {
     match relay.admit(slot, SendKind::Call(token_request)).await {
         Ok(admission) => {
@@ -100,24 +100,24 @@
             _ => UNREPEATABLE_MAX_IDLE_MS,
         },
     };
-    let mut memory = Held::new(&relay.memory, Some(resolved.account_id()));
+    let mut memory = BufferReservation::new(&relay.memory, Some(resolved.account_id()));
     let sending = attempt_response(relay, admission, request, &mut memory);
     let attempt = timeout(Duration::from_millis(timeout_ms), sending).await;
     let mut attempt = attempt.unwrap_or(AttemptResult::MayHaveRun(NO_ANSWER_IN_TIME));
-    if matches!(attempt, AttemptResult::MayHaveRun(_)) && memory.is_waiting() {
+    if matches!(attempt, AttemptResult::MayHaveRun(_)) && memory.is_blocked() {
         metrics::counter!("shuntpier_answers_without_memory").increment(1);
         attempt = AttemptResult::OutOfMemory(NO_MEMORY);
     }
     if let AttemptResult::MayHaveRun(why) = attempt {
         let break_kind = match why == NO_ANSWER_IN_TIME {
-            true => Break::Silent,
-            false => Break::Closed,
+            true => RunFailure::Silent,
+            false => RunFailure::ConnectionClosed,
         };
-        relay.run_broke(incoming.key, slot, started_ms, break_kind);
+        relay.record_broken_run(incoming.key, slot, started_ms, break_kind);
     }
     if let AttemptResult::Answered(reply) = &mut attempt {
         if reply.status < 500 {
-            relay.served(incoming.key);
+            relay.record_served_request(incoming.key);
         }
         reply.memory = Some(Rc::new(memory));
         let took_ms = relay.now_ms() - started_ms;
@@ -130,7 +130,7 @@
     relay: &Rc<Relay>,
     admission: &Admission,
     request: OutgoingRequest<'_>,
-    memory: &mut Held,
+    memory: &mut BufferReservation,
 ) -> AttemptResult {
     match relay.send_request(admission, request).await {
         SendResult::NotRun(why) => AttemptResult::NotRun(why),
@@ -146,7 +146,7 @@
     relay: &Rc<Relay>,
     slot: TargetSlot,
     mut response: OpenResponse,
-    memory: &mut Held,
+    memory: &mut BufferReservation,
 ) -> AttemptResult {
     if !response.is_verified() {
         return AttemptResult::MayHaveRun("the answer is not the target's own");
--- a/components/relay/src/ingress/read_request.rs
+++ b/components/relay/src/ingress/read_request.rs
@@ -1,6 +1,6 @@
 //! Reads a request completely, within the memory limit of its account, before any of it is forwarded.
 
-use crate::held::Held;
+use crate::buffered::BufferReservation;
 use crate::ingress::request::LocalReply;
 use crate::state::Relay;
 use bytes::Bytes;
@@ -41,7 +41,7 @@
     head: &RequestHead,
     relay: &Relay,
     limits: CallerLimits,
-    memory: &mut Held,
+    memory: &mut BufferReservation,
 ) -> Result<Bytes, Option<LocalReply>> {
     let declared_bytes = match head.framing {
         Framing::Length(length) => length,
@@ -52,7 +52,7 @@
     }
     if declared_bytes > SMALL_BODY_BYTES || head.framing == Framing::Chunked {
         // Count the body against its account while it is read; otherwise slow senders would use up the memory of all accounts.
-        memory.belongs_to(presumed_account(relay, head));
+        memory.assign_account(presumed_account(relay, head));
     }
     if !wait_for_memory(memory, declared_bytes).await {
         return Err(Some(memory_refusal("no memory for the body")));
@@ -121,11 +121,11 @@
 }
 
 /// Waits for memory for `more` bytes, while the caller is not read. Returns false if none becomes free in time.
-async fn wait_for_memory(memory: &mut Held, more: u64) -> bool {
-    if !memory.could_hold(memory.bytes() + more) {
+async fn wait_for_memory(memory: &mut BufferReservation, more: u64) -> bool {
+    if !memory.could_fit(memory.bytes() + more) {
         return false;
     }
-    timeout(BODY_MEMORY_TIMEOUT, memory.wait(more))
+    timeout(BODY_MEMORY_TIMEOUT, memory.reserve(more))
         .await
         .is_ok()
 }
