--- a/components/relay/src/forwarding/generation.rs
+++ b/components/relay/src/forwarding/generation.rs
@@ -112,9 +112,9 @@
     let status = response.head.status;
     let verified = response.is_verified() && status != 200;
     let mut memory = Held::new(&relay.held, Some(resolved.account_id()));
-    let due_ms = incoming.deadline_ms(resolved.route());
-    let left = Duration::from_millis(due_ms.saturating_sub(relay.now_ms()));
-    let body_result = timeout(left, response.read_body(&mut memory)).await;
+    let deadline_ms = incoming.deadline_ms(resolved.route());
+    let remaining = Duration::from_millis(deadline_ms.saturating_sub(relay.now_ms()));
+    let body_result = timeout(remaining, response.read_body(&mut memory)).await;
     let reply = match body_result {
         Ok(Ok(body)) if verified => {
             let head = forwarded_response_head(&response.head);
@@ -219,7 +219,7 @@
             Ok(permit) => permit,
             Err(refusal) => return StartResult::LocalReply(not_run_reply(refusal)),
         };
-        let until = Instant::now() + Duration::from_millis(due_ms.saturating_sub(now_ms));
+        let deadline = Instant::now() + Duration::from_millis(due_ms.saturating_sub(now_ms));
         let slot = permit.slot;
         if !relay.takes_work(slot) {
             // The dispatcher does not know yet that the engine is leaving.
@@ -234,7 +234,7 @@
         let granted_ms = relay.now_ms();
         let sending = send_generation(relay, incoming, resolved, slot, None, SendKind::Generation);
         let monitored = report_if_silent(relay, &permit, FIRST_RESPONSE_TIMEOUT, sending);
-        let Ok(result) = timeout_at(until, monitored).await else {
+        let Ok(result) = timeout_at(deadline, monitored).await else {
             relay.run_broke(incoming.key, slot, granted_ms, Break::Silent);
             return StartResult::LocalReply(LocalReply::DeadlineExceeded);
         };
--- a/components/relay/src/forwarding/hedge.rs
+++ b/components/relay/src/forwarding/hedge.rs
@@ -33,11 +33,11 @@
     };
     let may_run_again = route.kind == RouteKind::Repeatable && attempts.runs + 1 < route.runs_most;
     let is_hedged = may_run_again && relay.file().has(Mechanism::SecondBeside);
-    let left_ms = incoming.remaining_ms(route, relay.now_ms());
-    let hedge_delay_ms = relay.hedge_delay_for(route).min(left_ms);
+    let remaining_ms = incoming.remaining_ms(route, relay.now_ms());
+    let hedge_delay_ms = relay.hedge_delay_for(route).min(remaining_ms);
     let timeout_ms = match may_run_again && !is_hedged {
         true => hedge_delay_ms,
-        false => left_ms,
+        false => remaining_ms,
     };
     let first = attempt(
         relay,
--- a/components/relay/src/forwarding/stream.rs
+++ b/components/relay/src/forwarding/stream.rs
@@ -171,8 +171,8 @@
         closes_channel: bool,
     ) -> StreamEnd {
         let deadline_ms = self.incoming.deadline_ms(self.resolved.route());
-        let left_ms = deadline_ms.saturating_sub(self.relay.now_ms());
-        let deadline = Instant::now() + Duration::from_millis(left_ms);
+        let remaining_ms = deadline_ms.saturating_sub(self.relay.now_ms());
+        let deadline = Instant::now() + Duration::from_millis(remaining_ms);
         let head = forwarded_response_head(&response.head);
         let mut mover = Mover::new(self.relay, self.engine);
         let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
