--- a/components/relay/src/ingress/overload.rs
+++ b/components/relay/src/ingress/overload.rs
@@ -1,5 +1,5 @@
 //! Load shedding: an overloaded box reports that it is not ready for a while if enough other boxes are ready (see
-//! [`crate::membership::stand_back`]). It still serves the requests that it has accepted.
+//! [`crate::membership::load_shedding`]). It still serves the requests that it has accepted.
 
 use crate::ingress::lag::{LagMeter, is_late};
 use crate::membership::load_shedding::shedding_until_ms;
