--- a/components/relay/src/rate_limit/coordinator.rs
+++ b/components/relay/src/rate_limit/coordinator.rs
@@ -1,6 +1,6 @@
 //! The coordinator of a target: the box that grants its rate tokens. Rendezvous hashing selects it from the boxes of the
-//! target's data centre, so that it is near most boxes that send there, and a network partition separates both together. Its
-//! state is soft: a box that takes over the role starts with no tokens.
+//! target's data centre, so that it is near most boxes that send there, and a network partition cuts it off together with the
+//! target. Its state is soft: a box that takes over the role starts with no tokens.
 
 use crate::membership::exchange::exchange_with;
 use crate::state::Relay;
--- a/components/relay/src/rate_limit/state.rs
+++ b/components/relay/src/rate_limit/state.rs
@@ -15,7 +15,7 @@
 pub struct TargetRateLimit {
     /// The limit that the target announced in its answers.
     pub announced: AnnouncedRate,
-    /// When this box first learned of a limit, on its clock.
+    /// Since when a limit is known, on this box's clock.
     pub limited_since_ms: u64,
     /// The limit, per second, that was last logged and sent to other boxes.
     published_per_s: Option<f64>,
