--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -6,7 +6,7 @@
 use policy::rendezvous_owner;
 use prelude::{BoxId, BoxIncarnation};
 use services::{
-    CLAIM_SLOTS, Claim, ClaimBatcher, ClaimVerdict, PendingClaim, RecordedOutcome, slot_of,
+    CLAIM_SLOTS, Claim, ClaimBatcher, ClaimWriteResult, PendingClaim, RecordedOutcome, claim_role,
     slot_role,
 };
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     pending: PendingClaim,
     retention_ms: u64,
     deadline_ms: u64,
-    verdict: Option<oneshot::Sender<ClaimVerdict>>,
+    verdict: Option<oneshot::Sender<ClaimWriteResult>>,
 }
 
 /// Where claims wait to be recorded by this box.
@@ -107,7 +107,7 @@
     let (ready, late): (Vec<Job>, Vec<Job>) =
         batch.into_iter().partition(|job| job.deadline_ms > now_ms);
     for job in late {
-        answer(job.verdict, ClaimVerdict::NotRecorded);
+        answer(job.verdict, ClaimWriteResult::NotRecorded);
     }
     ready
 }
@@ -126,7 +126,7 @@
         .unwrap_or(1000);
     let Some(lease) = leases.get(store, retention_ms, shared.now_ms()).await else {
         for job in batch {
-            answer(job.verdict, ClaimVerdict::NotRecorded);
+            answer(job.verdict, ClaimWriteResult::NotRecorded);
         }
         return;
     };
@@ -139,7 +139,7 @@
     }
 }
 
-fn answer(waiter: Option<oneshot::Sender<ClaimVerdict>>, verdict: ClaimVerdict) {
+fn answer(waiter: Option<oneshot::Sender<ClaimWriteResult>>, verdict: ClaimWriteResult) {
     if let Some(waiter) = waiter {
         let _ = waiter.send(verdict);
     }
@@ -213,12 +213,12 @@
     }
 }
 
-fn claim_result(verdict: ClaimVerdict) -> ClaimResult {
+fn claim_result(verdict: ClaimWriteResult) -> ClaimResult {
     match verdict {
-        ClaimVerdict::Won { revision } => ClaimResult::Won { revision },
-        ClaimVerdict::NotRecorded => ClaimResult::NotRecorded,
-        ClaimVerdict::Unclear => ClaimResult::Unclear,
-        ClaimVerdict::Taken {
+        ClaimWriteResult::Won { revision } => ClaimResult::Won { revision },
+        ClaimWriteResult::NotRecorded => ClaimResult::NotRecorded,
+        ClaimWriteResult::Unclear => ClaimResult::Unclear,
+        ClaimWriteResult::Taken {
             by: Some(by),
             revision,
         } => ClaimResult::Taken {
@@ -229,7 +229,7 @@
             revision,
             outcome: by.outcome.map(key_outcome),
         },
-        ClaimVerdict::Taken { by: None, revision } => ClaimResult::Taken {
+        ClaimWriteResult::Taken { by: None, revision } => ClaimResult::Taken {
             claimant: BoxId(0),
             life: BoxIncarnation(0),
             nonce: 0,
@@ -294,7 +294,7 @@
 /// The box that records a claim, as this box sees it.
 fn holder(shared: &Shared, fingerprint: u128) -> BoxId {
     let members = lock(&shared.members).usable(shared.now_ms());
-    rendezvous_owner(slot_of(fingerprint), members).unwrap_or(shared.card.id)
+    rendezvous_owner(claim_role(fingerprint), members).unwrap_or(shared.card.id)
 }
 
 /// Claims a key, through the holder of its slot; where that cannot be reached, directly.
--- a/components/services/src/batch.rs
+++ b/components/services/src/batch.rs
@@ -23,7 +23,7 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimWriteResult {
     /// It is recorded.
     Won {
         /// The revision of the write.
@@ -61,8 +61,8 @@
 
     /// Records claims under a lease of `lease` and says what became of each, in the order given.
     /// A key that comes twice is recorded once; the later one finds it taken.
-    pub async fn record(&self, pending: &[PendingClaim], lease: u64) -> Vec<ClaimVerdict> {
-        let mut verdicts: Vec<Option<ClaimVerdict>> = vec![None; pending.len()];
+    pub async fn record(&self, pending: &[PendingClaim], lease: u64) -> Vec<ClaimWriteResult> {
+        let mut verdicts: Vec<Option<ClaimWriteResult>> = vec![None; pending.len()];
         let mut doubt = false;
         for _ in 0..TRIES {
             let open = first_of_each_key(pending, &verdicts);
@@ -73,7 +73,7 @@
             match self.store.transact(&transaction).await {
                 Ok(TransactionResult::Done { revision }) => {
                     for at in open {
-                        verdicts[at] = Some(ClaimVerdict::Won { revision });
+                        verdicts[at] = Some(ClaimWriteResult::Won { revision });
                     }
                     doubt = false;
                 }
@@ -86,17 +86,20 @@
             }
         }
         let open = if doubt {
-            ClaimVerdict::Unclear
+            ClaimWriteResult::Unclear
         } else {
-            ClaimVerdict::NotRecorded
+            ClaimWriteResult::NotRecorded
         };
-        let settle = |verdict: Option<ClaimVerdict>| verdict.unwrap_or_else(|| open.clone());
+        let settle = |verdict: Option<ClaimWriteResult>| verdict.unwrap_or_else(|| open.clone());
         verdicts.into_iter().map(settle).collect()
     }
 }
 
 /// Places of the claims without a verdict, only the first of each key.
-fn first_of_each_key(pending: &[PendingClaim], verdicts: &[Option<ClaimVerdict>]) -> Vec<usize> {
+fn first_of_each_key(
+    pending: &[PendingClaim],
+    verdicts: &[Option<ClaimWriteResult>],
+) -> Vec<usize> {
     let mut seen = HashMap::new();
     for at in 0..pending.len() {
         if verdicts[at].is_none() && seen.len() < BATCH_MAX {
@@ -130,7 +133,7 @@
     pending: &[PendingClaim],
     open: &[usize],
     current: &[Versioned],
-    verdicts: &mut [Option<ClaimVerdict>],
+    verdicts: &mut [Option<ClaimWriteResult>],
 ) {
     let by_key: HashMap<&str, &Versioned> = current
         .iter()
@@ -146,8 +149,8 @@
         let by = found.and_then(|value| Claim::from_bytes(&value.value));
         let own = by.as_ref() == Some(&item.claim);
         verdicts[*at] = Some(match own {
-            true => ClaimVerdict::Won { revision },
-            false => ClaimVerdict::Taken { by, revision },
+            true => ClaimWriteResult::Won { revision },
+            false => ClaimWriteResult::Taken { by, revision },
         });
     }
 }
--- a/components/services/src/batch_tests.rs
+++ b/components/services/src/batch_tests.rs
@@ -112,8 +112,8 @@
     }
 }
 
-fn won(verdict: &ClaimVerdict) -> bool {
-    matches!(verdict, ClaimVerdict::Won { .. })
+fn won(verdict: &ClaimWriteResult) -> bool {
+    matches!(verdict, ClaimWriteResult::Won { .. })
 }
 
 #[tokio::test]
@@ -132,7 +132,7 @@
     let first = batcher.record(&[pending(1, 1)], 1).await;
     let second = batcher.record(&[pending(1, 2), pending(2, 2)], 1).await;
     assert!(won(&first[0]) && won(&second[1]));
-    assert!(matches!(&second[0], ClaimVerdict::Taken { by: Some(by), .. } if by.nonce == 1));
+    assert!(matches!(&second[0], ClaimWriteResult::Taken { by: Some(by), .. } if by.nonce == 1));
 }
 
 #[tokio::test]
@@ -160,7 +160,7 @@
         .faults
         .extend([Fault::Refuse; TRIES]);
     let verdicts = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
-    assert_eq!(verdicts, [ClaimVerdict::NotRecorded]);
+    assert_eq!(verdicts, [ClaimWriteResult::NotRecorded]);
 }
 
 #[tokio::test]
@@ -180,5 +180,5 @@
         .faults
         .extend([Fault::Refuse; TRIES]);
     let verdicts = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
-    assert_eq!(verdicts, [ClaimVerdict::Unclear]);
+    assert_eq!(verdicts, [ClaimWriteResult::Unclear]);
 }
--- a/components/services/src/claim.rs
+++ b/components/services/src/claim.rs
@@ -74,7 +74,7 @@
 }
 
 /// The role whose holder writes a claim.
-pub fn slot_of(fingerprint: u128) -> u64 {
+pub fn claim_role(fingerprint: u128) -> u64 {
     slot_role(xxh3_64(&fingerprint.to_le_bytes()) % CLAIM_SLOTS)
 }
 
--- a/components/services/src/lib.rs
+++ b/components/services/src/lib.rs
@@ -6,7 +6,9 @@
 mod client;
 mod keyed;
 
-pub use batch::{ClaimBatcher, ClaimVerdict, PendingClaim};
-pub use claim::{CLAIM_SLOTS, Claim, RecordedOutcome, claim_key, fingerprint, slot_of, slot_role};
+pub use batch::{ClaimBatcher, ClaimWriteResult, PendingClaim};
+pub use claim::{
+    CLAIM_SLOTS, Claim, RecordedOutcome, claim_key, claim_role, fingerprint, slot_role,
+};
 pub use client::{CallError, ServiceClient, ServiceRequest, ServiceResponse};
 pub use keyed::{KeyAge, key_age, key_time_ms};
