--- a/components/services/src/batch.rs
+++ b/components/services/src/batch.rs
@@ -1,124 +1,124 @@
-//! Group commit of claims: many claims go into one transaction, which counts as one call of the
-//! platform's service. Two writers at once are safe, since each claim carries its own condition.
+//! Group commit of claims: many claims go into one transaction, which costs one call of the
+//! platform's key-value service. Concurrent writers are safe, because each claim carries its own
+//! compare condition.
 
 use crate::claim::{Claim, claim_key};
 use std::collections::HashMap;
 use store::{Compare, KeyValue, StoreError, Transaction, TransactionResult, Versioned, Write};
 
-/// Claims in one transaction; etcd takes 128 operations.
-const BATCH_MAX: usize = 100;
-/// Tries of one batch before its claims are given up.
-const TRIES: usize = 6;
+/// Maximum number of claims in one transaction; etcd accepts 128 operations.
+const MAX_BATCH_CLAIMS: usize = 100;
+/// Maximum number of attempts to write a batch.
+const MAX_ATTEMPTS: usize = 6;
 
-/// A claim, or a claim's outcome, that is to be recorded.
+/// A new claim, or the outcome of an existing one, that waits to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingClaim {
-    /// Fingerprint of account and key.
+    /// Fingerprint of service, account and key, see [`fingerprint`](crate::fingerprint).
     pub fingerprint: u128,
-    /// The claim.
+    /// The claim to write.
     pub claim: Claim,
-    /// The revision of the claim that it replaces; 0 for a new one.
+    /// Revision of the claim that this one replaces; 0 for a new claim.
     pub replaces_revision: u64,
 }
 
-/// What became of a claim.
+/// Result of writing one claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimWriteResult {
-    /// It is recorded.
+    /// The claim is recorded.
     Won {
-        /// The revision of the write.
+        /// Revision of the write.
         revision: u64,
     },
-    /// The key was claimed before.
+    /// Another claim holds the key.
     Taken {
-        /// By this claim; none where the value cannot be read.
+        /// That claim; `None` if its value cannot be decoded.
         by: Option<Claim>,
-        /// The revision of that claim.
+        /// Revision of that claim.
         revision: u64,
     },
-    /// It is not recorded, and no write of it is under way.
+    /// The claim is not recorded, and no write of it is in flight.
     NotRecorded,
-    /// It may be recorded.
+    /// The claim may be recorded.
     Unclear,
 }
 
-/// Records claims in batches.
+/// Writes claims in batches.
 #[derive(Clone, Debug)]
 pub struct ClaimBatcher<K> {
     store: K,
 }
 
 impl<K: KeyValue> ClaimBatcher<K> {
-    /// A batcher that writes to `store`.
+    /// Creates a batcher that writes to `store`.
     pub fn new(store: K) -> Self {
         Self { store }
     }
 
-    /// The most claims that [`ClaimBatcher::record`] puts into one transaction.
+    /// Maximum number of claims that [`ClaimBatcher::record`] puts into one transaction.
     pub fn batch_max(&self) -> usize {
-        BATCH_MAX
+        MAX_BATCH_CLAIMS
     }
 
-    /// Records claims under a lease of `lease` and says what became of each, in the order given.
-    /// A key that comes twice is recorded once; the later one finds it taken.
+    /// Writes claims under the lease with the id `lease` and returns the result of each, in the
+    /// order given. If a key occurs twice, the first claim is written and the second finds the key
+    /// taken.
     pub async fn record(&self, pending: &[PendingClaim], lease: u64) -> Vec<ClaimWriteResult> {
-        let mut verdicts: Vec<Option<ClaimWriteResult>> = vec![None; pending.len()];
-        let mut doubt = false;
-        for _ in 0..TRIES {
-            let open = first_of_each_key(pending, &verdicts);
-            if open.is_empty() {
+        let mut results: Vec<Option<ClaimWriteResult>> = vec![None; pending.len()];
+        let mut unclear = false;
+        for _ in 0..MAX_ATTEMPTS {
+            let unresolved = first_of_each_key(pending, &results);
+            if unresolved.is_empty() {
                 break;
             }
-            let transaction = transaction(pending, &open, lease);
+            let transaction = transaction(pending, &unresolved, lease);
             match self.store.transact(&transaction).await {
                 Ok(TransactionResult::Done { revision }) => {
-                    for at in open {
-                        verdicts[at] = Some(ClaimWriteResult::Won { revision });
+                    for index in unresolved {
+                        results[index] = Some(ClaimWriteResult::Won { revision });
                     }
-                    doubt = false;
+                    unclear = false;
                 }
                 Ok(TransactionResult::Conflict { current }) => {
-                    resolve(pending, &open, &current, &mut verdicts);
-                    doubt = false;
+                    resolve(pending, &unresolved, &current, &mut results);
+                    unclear = false;
                 }
                 Err(StoreError::NotDone(_) | StoreError::HistoryGone) => {}
-                Err(StoreError::Unclear(_)) => doubt = true,
+                Err(StoreError::Unclear(_)) => unclear = true,
             }
         }
-        let open = if doubt {
+        let default = if unclear {
             ClaimWriteResult::Unclear
         } else {
             ClaimWriteResult::NotRecorded
         };
-        let settle = |verdict: Option<ClaimWriteResult>| verdict.unwrap_or_else(|| open.clone());
-        verdicts.into_iter().map(settle).collect()
+        let or_default =
+            |result: Option<ClaimWriteResult>| result.unwrap_or_else(|| default.clone());
+        results.into_iter().map(or_default).collect()
     }
 }
 
-/// Places of the claims without a verdict, only the first of each key.
-fn first_of_each_key(
-    pending: &[PendingClaim],
-    verdicts: &[Option<ClaimWriteResult>],
-) -> Vec<usize> {
+/// Returns the indexes of the claims without a result, only the first claim of each key.
+fn first_of_each_key(pending: &[PendingClaim], results: &[Option<ClaimWriteResult>]) -> Vec<usize> {
     let mut seen = HashMap::new();
-    for at in 0..pending.len() {
-        if verdicts[at].is_none() && seen.len() < BATCH_MAX {
-            seen.entry(pending[at].fingerprint).or_insert(at);
+    for index in 0..pending.len() {
+        if results[index].is_none() && seen.len() < MAX_BATCH_CLAIMS {
+            seen.entry(pending[index].fingerprint).or_insert(index);
         }
     }
-    let mut open: Vec<usize> = seen.into_values().collect();
-    open.sort_unstable();
-    open
+    let mut unresolved: Vec<usize> = seen.into_values().collect();
+    unresolved.sort_unstable();
+    unresolved
 }
 
-fn transaction(pending: &[PendingClaim], open: &[usize], lease: u64) -> Transaction {
-    let compare = open.iter().map(|at| Compare {
-        key: claim_key(pending[*at].fingerprint),
-        revision: pending[*at].replaces_revision,
+fn transaction(pending: &[PendingClaim], unresolved: &[usize], lease: u64) -> Transaction {
+    let compare = unresolved.iter().map(|index| Compare {
+        key: claim_key(pending[*index].fingerprint),
+        revision: pending[*index].replaces_revision,
     });
-    let writes = open.iter().map(|at| Write::Put {
-        key: claim_key(pending[*at].fingerprint),
-        value: pending[*at].claim.to_bytes(),
+    let writes = unresolved.iter().map(|index| Write::Put {
+        key: claim_key(pending[*index].fingerprint),
+        value: pending[*index].claim.to_bytes(),
         lease,
     });
     Transaction {
@@ -127,28 +127,31 @@
     }
 }
 
-/// After a conflict: claims whose condition does not hold are taken, or were won by a write whose
-/// answer was lost. The others stay open for the next try.
+/// Sets the results after a conflict. A claim whose compare condition fails is taken, or it was
+/// recorded by an earlier write whose response was lost. The others stay unresolved for the next
+/// attempt.
 fn resolve(
     pending: &[PendingClaim],
-    open: &[usize],
+    unresolved: &[usize],
     current: &[Versioned],
-    verdicts: &mut [Option<ClaimWriteResult>],
+    results: &mut [Option<ClaimWriteResult>],
 ) {
     let by_key: HashMap<&str, &Versioned> = current
         .iter()
         .map(|value| (value.key.as_str(), value))
         .collect();
-    for at in open {
-        let item = &pending[*at];
-        let found = by_key.get(claim_key(item.fingerprint).as_str()).copied();
+    for index in unresolved {
+        let pending_claim = &pending[*index];
+        let found = by_key
+            .get(claim_key(pending_claim.fingerprint).as_str())
+            .copied();
         let revision = found.map_or(0, |value| value.revision);
-        if revision == item.replaces_revision {
+        if revision == pending_claim.replaces_revision {
             continue;
         }
         let by = found.and_then(|value| Claim::from_bytes(&value.value));
-        let own = by.as_ref() == Some(&item.claim);
-        verdicts[*at] = Some(match own {
+        let own = by.as_ref() == Some(&pending_claim.claim);
+        results[*index] = Some(match own {
             true => ClaimWriteResult::Won { revision },
             false => ClaimWriteResult::Taken { by, revision },
         });
--- a/components/services/src/batch_tests.rs
+++ b/components/services/src/batch_tests.rs
@@ -4,31 +4,31 @@
 use std::sync::{Arc, Mutex};
 use store::Watch;
 
-/// What the store shall do with the next transactions.
+/// Fault that the store injects into a transaction.
 #[derive(Clone, Copy)]
 enum Fault {
-    Refuse,
-    LoseAnswer,
+    Reject,
+    LoseResponse,
 }
 
 #[derive(Default)]
-struct Values {
+struct MemoryState {
     revision: u64,
     values: BTreeMap<String, (Vec<u8>, u64)>,
     faults: VecDeque<Fault>,
     calls: usize,
 }
 
-/// A store in memory.
+/// In-memory store with fault injection.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Values>>);
+struct MemoryStore(Arc<Mutex<MemoryState>>);
 
-impl KeyValue for Memory {
+impl KeyValue for MemoryStore {
     type Watch = Watch;
 
     async fn get(&self, key: &str) -> Result<Option<Versioned>, StoreError> {
-        let held = self.0.lock().unwrap();
-        let found = held.values.get(key).cloned();
+        let state = self.0.lock().unwrap();
+        let found = state.values.get(key).cloned();
         Ok(found.map(|(value, revision)| Versioned {
             era: 0,
             key: key.to_owned(),
@@ -43,35 +43,35 @@
     }
 
     async fn transact(&self, transaction: &Transaction) -> Result<TransactionResult, StoreError> {
-        let mut held = self.0.lock().unwrap();
-        held.calls += 1;
-        let fault = held.faults.pop_front();
-        if matches!(fault, Some(Fault::Refuse)) {
+        let mut state = self.0.lock().unwrap();
+        state.calls += 1;
+        let fault = state.faults.pop_front();
+        if matches!(fault, Some(Fault::Reject)) {
             return Err(StoreError::NotDone("refused".into()));
         }
-        let revision_of = |held: &Values, key: &str| held.values.get(key).map_or(0, |v| v.1);
-        let holds = transaction
+        let revision_of = |state: &MemoryState, key: &str| state.values.get(key).map_or(0, |v| v.1);
+        let conditions_met = transaction
             .compare
             .iter()
-            .all(|c| revision_of(&held, &c.key) == c.revision);
-        if holds {
-            held.revision += 1;
-            let revision = held.revision;
+            .all(|c| revision_of(&state, &c.key) == c.revision);
+        if conditions_met {
+            state.revision += 1;
+            let revision = state.revision;
             for write in &transaction.writes {
                 if let Write::Put { key, value, .. } = write {
-                    held.values.insert(key.clone(), (value.clone(), revision));
+                    state.values.insert(key.clone(), (value.clone(), revision));
                 }
             }
         }
-        if matches!(fault, Some(Fault::LoseAnswer)) {
+        if matches!(fault, Some(Fault::LoseResponse)) {
             return Err(StoreError::Unclear("lost".into()));
         }
-        if holds {
-            let revision = held.revision;
+        if conditions_met {
+            let revision = state.revision;
             return Ok(TransactionResult::Done { revision });
         }
         let current = transaction.compare.iter().filter_map(|compare| {
-            let (value, revision) = held.values.get(&compare.key)?.clone();
+            let (value, revision) = state.values.get(&compare.key)?.clone();
             let key = compare.key.clone();
             Some(Versioned {
                 era: 0,
@@ -112,22 +112,22 @@
     }
 }
 
-fn won(verdict: &ClaimWriteResult) -> bool {
-    matches!(verdict, ClaimWriteResult::Won { .. })
+fn won(result: &ClaimWriteResult) -> bool {
+    matches!(result, ClaimWriteResult::Won { .. })
 }
 
 #[tokio::test]
-async fn records_many_claims_in_one_call() {
-    let store = Memory::default();
-    let many: Vec<PendingClaim> = (0..50).map(|key| pending(key, 1)).collect();
-    let verdicts = ClaimBatcher::new(store.clone()).record(&many, 1).await;
-    assert!(verdicts.iter().all(won));
+async fn records_a_batch_of_claims_in_one_transaction() {
+    let store = MemoryStore::default();
+    let claims: Vec<PendingClaim> = (0..50).map(|key| pending(key, 1)).collect();
+    let results = ClaimBatcher::new(store.clone()).record(&claims, 1).await;
+    assert!(results.iter().all(won));
     assert_eq!(store.0.lock().unwrap().calls, 1);
 }
 
 #[tokio::test]
-async fn gives_a_key_to_one_claimant_only() {
-    let store = Memory::default();
+async fn grants_a_key_to_one_claimant_only() {
+    let store = MemoryStore::default();
     let batcher = ClaimBatcher::new(store);
     let first = batcher.record(&[pending(1, 1)], 1).await;
     let second = batcher.record(&[pending(1, 2), pending(2, 2)], 1).await;
@@ -136,41 +136,46 @@
 }
 
 #[tokio::test]
-async fn gives_a_key_that_comes_twice_in_a_batch_to_the_first() {
-    let batcher = ClaimBatcher::new(Memory::default());
-    let verdicts = batcher.record(&[pending(1, 1), pending(1, 2)], 1).await;
-    assert!(won(&verdicts[0]) && !won(&verdicts[1]));
+async fn grants_a_duplicate_key_in_a_batch_to_the_first_claim() {
+    let batcher = ClaimBatcher::new(MemoryStore::default());
+    let results = batcher.record(&[pending(1, 1), pending(1, 2)], 1).await;
+    assert!(won(&results[0]) && !won(&results[1]));
 }
 
 #[tokio::test]
-async fn finds_its_own_claim_after_a_lost_answer() {
-    let store = Memory::default();
-    store.0.lock().unwrap().faults.push_back(Fault::LoseAnswer);
-    let verdicts = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
-    assert!(won(&verdicts[0]));
+async fn recognizes_its_own_claim_after_a_lost_response() {
+    let store = MemoryStore::default();
+    store
+        .0
+        .lock()
+        .unwrap()
+        .faults
+        .push_back(Fault::LoseResponse);
+    let results = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
+    assert!(won(&results[0]));
 }
 
 #[tokio::test]
-async fn says_when_nothing_was_recorded() {
-    let store = Memory::default();
+async fn reports_not_recorded_when_the_store_rejects_every_attempt() {
+    let store = MemoryStore::default();
     store
         .0
         .lock()
         .unwrap()
         .faults
-        .extend([Fault::Refuse; TRIES]);
-    let verdicts = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
-    assert_eq!(verdicts, [ClaimWriteResult::NotRecorded]);
+        .extend([Fault::Reject; MAX_ATTEMPTS]);
+    let results = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
+    assert_eq!(results, [ClaimWriteResult::NotRecorded]);
 }
 
 #[tokio::test]
-async fn says_when_it_may_have_been_recorded() {
-    let store = Memory::default();
+async fn reports_unclear_when_a_response_was_lost() {
+    let store = MemoryStore::default();
     let faults = [
-        Fault::LoseAnswer,
-        Fault::Refuse,
-        Fault::Refuse,
-        Fault::Refuse,
+        Fault::LoseResponse,
+        Fault::Reject,
+        Fault::Reject,
+        Fault::Reject,
     ];
     store.0.lock().unwrap().faults.extend(faults);
     store
@@ -178,7 +183,7 @@
         .lock()
         .unwrap()
         .faults
-        .extend([Fault::Refuse; TRIES]);
-    let verdicts = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
-    assert_eq!(verdicts, [ClaimWriteResult::Unclear]);
+        .extend([Fault::Reject; MAX_ATTEMPTS]);
+    let results = ClaimBatcher::new(store).record(&[pending(1, 1)], 1).await;
+    assert_eq!(results, [ClaimWriteResult::Unclear]);
 }
--- a/components/services/src/claim.rs
+++ b/components/services/src/claim.rs
@@ -1,60 +1,62 @@
-//! A claim: the record that one box, and nobody else, may send a call. It is a key of its own in the
-//! platform's service, created by compare-and-swap.
+//! Claims: a claim records that exactly one box may send a call. Each claim is a key of its own in
+//! the platform's key-value service, created by compare-and-swap.
 
 use prelude::{AccountId, BoxId, BoxIncarnation, ServiceId};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Roles among which claims are split; each has one writer at a time, which batches them.
+/// Number of roles over which claims are sharded. Each role has one writer at a time, which batches
+/// its claims.
 pub const CLAIM_SLOTS: u64 = 8;
 const CLAIM_PREFIX: &str = "/shuntpier/claims/";
 
-/// What a claim's value holds.
+/// Stored value of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The box that may send the call.
     pub claimant: BoxId,
-    /// Its life.
+    /// Process incarnation of that box.
     pub life: BoxIncarnation,
-    /// Unique to the try that made the claim.
+    /// Unique to the attempt that created the claim.
     pub nonce: u64,
-    /// Fingerprint of the request, to tell when a key is used for another.
+    /// Fingerprint of the request, to detect that a key is reused for a different request.
     pub request: u64,
-    /// What became of the call, once that is recorded.
+    /// Outcome of the call, once it is recorded.
     pub outcome: Option<RecordedOutcome>,
 }
 
-/// A call's recorded outcome.
+/// Recorded outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedOutcome {
-    /// It ran, with this answer.
+    /// The call ran, with this response.
     Done {
         /// HTTP status.
         status: u16,
-        /// Type of the body.
+        /// Content type of the body.
         content_type: Option<String>,
-        /// The body, where it is short enough to be kept.
+        /// The body, if it is short enough to be stored.
         body: Option<Vec<u8>>,
     },
-    /// It was never sent: the key may be claimed again.
+    /// The call was never sent; the key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     MayHaveRun,
 }
 
 impl Claim {
-    /// The claim as the value of its key.
+    /// Encodes the claim as the value of its key.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a value. None where it is no claim; the key is then taken, by whom is not known.
+    /// Decodes a value. `None` means that it is no valid claim: the key is taken by an unknown box.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// Fingerprint of an account's key for a service. 128 bits, so that two keys do not meet.
+/// Returns the fingerprint of an account's key for a service. It has 128 bits to make collisions
+/// negligible.
 pub fn fingerprint(service: ServiceId, account: AccountId, key: &str) -> u128 {
     let mut bytes = Vec::with_capacity(key.len() + 16);
     bytes.extend_from_slice(&service.0.to_le_bytes());
@@ -63,17 +65,17 @@
     xxh3_128(&bytes)
 }
 
-/// The key of a claim in the platform's service.
+/// Returns the key of a claim in the platform's key-value service.
 pub fn claim_key(fingerprint: u128) -> String {
     format!("{CLAIM_PREFIX}{fingerprint:032x}")
 }
 
-/// The role of a slot's holder, for rendezvous hashing.
+/// Returns the role of a slot, by which rendezvous hashing elects the slot's writer.
 pub fn slot_role(slot: u64) -> u64 {
     xxh3_64(format!("claim-slot-{slot}").as_bytes())
 }
 
-/// The role whose holder writes a claim.
+/// Returns the role whose holder writes the claim.
 pub fn claim_role(fingerprint: u128) -> u64 {
     slot_role(xxh3_64(&fingerprint.to_le_bytes()) % CLAIM_SLOTS)
 }
--- a/components/services/src/claim_tests.rs
+++ b/components/services/src/claim_tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn reads_what_it_wrote() {
+fn decodes_an_encoded_claim() {
     let claim = Claim {
         claimant: BoxId(1),
         life: BoxIncarnation(2),
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn tells_accounts_with_the_same_key_apart() {
-    let of = |account| fingerprint(ServiceId(1), AccountId(account), "k");
-    assert_ne!(of(1), of(2));
+fn fingerprint_differs_between_accounts_with_the_same_key() {
+    let fingerprint_of = |account| fingerprint(ServiceId(1), AccountId(account), "k");
+    assert_ne!(fingerprint_of(1), fingerprint_of(2));
 }
 
 proptest! {
     #[test]
-    fn takes_any_value_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn decodes_any_value_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = Claim::from_bytes(&bytes);
     }
 }
--- a/components/services/src/client.rs
+++ b/components/services/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of plain services. It sends a request once and says whether it may have arrived.
+//! HTTP client of plain services. It sends a request once and reports whether it may have run.
 
 use bytes::Bytes;
 use reqwest::{Client, Method, header};
@@ -6,66 +6,66 @@
 use std::time::Duration;
 use thiserror::Error;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-const IDLE_LINK_LIFE: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A call, as it goes to a worker.
+/// A call as it is sent to a worker.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// The `Idempotency-Key`, passed on.
+    /// The `Idempotency-Key` header, forwarded.
     pub key: Option<String>,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A worker's answer.
+/// Response of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
-    /// The pause that a worker asks for which turns the call away (429, 503), in milliseconds.
+    /// `Retry-After` in milliseconds, if the worker rejects the call with status 429 or 503.
     pub pause_ms: Option<u64>,
 }
 
-/// Statuses with which a worker turns a call away.
-const TURNED_AWAY: [u16; 2] = [429, 503];
-/// The pause that the head of an answer asks for.
+/// Statuses by which a worker rejects a call because of overload.
+const OVERLOAD_STATUSES: [u16; 2] = [429, 503];
+/// Returns the `Retry-After` of a response in milliseconds.
 fn pause_ms(headers: &header::HeaderMap) -> Option<u64> {
     prelude::retry_after_ms(headers.get(header::RETRY_AFTER)?.to_str().ok()?)
 }
 
-/// Why a call gave no answer.
+/// Why a call got no response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The worker was not reached: no byte was sent.
+    /// The worker could not be reached; no byte was sent.
     #[error("the worker at {address} was not reached: {cause}")]
     NotSent {
-        /// Where.
+        /// Address of the worker.
         address: SocketAddr,
-        /// Why.
+        /// Cause, for a person.
         cause: String,
     },
-    /// It was sent, at least in part: it may have run.
+    /// The call was sent, at least in part, and may have run.
     #[error("the worker at {address} gave no answer: {cause}")]
     MayHaveRun {
-        /// Where.
+        /// Address of the worker.
         address: SocketAddr,
-        /// Why.
+        /// Cause, for a person.
         cause: String,
     },
 }
 
-/// Client of all plain services. Cheap to clone.
+/// HTTP client of all plain services. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     repeatable: Client,
@@ -73,21 +73,23 @@
 }
 
 impl ServiceClient {
-    /// A client. Calls that may not be repeated use a link of their own each: the HTTP library sends
-    /// a request again by itself when a kept link turns out to be closed.
+    /// Creates a client. A call that may not be repeated gets a connection of its own, because the
+    /// HTTP library resends a request by itself if a pooled connection turns out to be closed.
     ///
     /// # Errors
-    /// The HTTP library's, where it cannot start.
+    /// The error of the HTTP library if it cannot start.
     pub fn new() -> Result<Self, reqwest::Error> {
         let builder = || {
             Client::builder()
-                .connect_timeout(CONNECT_LIMIT)
+                .connect_timeout(CONNECT_TIMEOUT)
                 .tcp_nodelay(true)
                 .redirect(reqwest::redirect::Policy::none())
                 .no_proxy()
         };
         Ok(Self {
-            repeatable: builder().pool_idle_timeout(IDLE_LINK_LIFE).build()?,
+            repeatable: builder()
+                .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
+                .build()?,
             once: builder()
                 .pool_max_idle_per_host(0)
                 .retry(reqwest::retry::never())
@@ -95,16 +97,16 @@
         })
     }
 
-    /// Sends a call once. `may_repeat` says whether a second sending would do no harm.
+    /// Sends a call once. `may_repeat` tells whether the call is idempotent.
     ///
     /// # Errors
-    /// [`CallError`], which says whether it may have run.
+    /// [`CallError`], which tells whether the call may have run.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: &ServiceRequest,
         may_repeat: bool,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ServiceResponse, CallError> {
         let Ok(method) = Method::from_bytes(request.method.as_bytes()) else {
             let cause = format!("`{}` is no HTTP method", request.method);
@@ -116,31 +118,31 @@
             &self.once
         };
         let path = request.path.trim_start_matches('/');
-        let mut sending = client
+        let mut builder = client
             .request(method, format!("http://{address}/{path}"))
-            .timeout(limit)
+            .timeout(timeout)
             .body(request.body.clone());
         if let Some(content_type) = &request.content_type {
-            sending = sending.header(header::CONTENT_TYPE, content_type);
+            builder = builder.header(header::CONTENT_TYPE, content_type);
         }
         if let Some(key) = &request.key {
-            sending = sending.header("idempotency-key", key);
+            builder = builder.header("idempotency-key", key);
         }
-        let lost = |error: reqwest::Error| {
+        let to_call_error = |error: reqwest::Error| {
             let cause = error.to_string();
             match error.is_connect() || error.is_builder() {
                 true => CallError::NotSent { address, cause },
                 false => CallError::MayHaveRun { address, cause },
             }
         };
-        let response = sending.send().await.map_err(lost)?;
+        let response = builder.send().await.map_err(to_call_error)?;
         let status = response.status().as_u16();
         let content_type = response.headers().get(header::CONTENT_TYPE);
         let content_type = content_type
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
-        let turned_away = TURNED_AWAY.contains(&status);
-        let pause_ms = pause_ms(response.headers()).filter(|_| turned_away);
+        let overloaded = OVERLOAD_STATUSES.contains(&status);
+        let pause_ms = pause_ms(response.headers()).filter(|_| overloaded);
         let body = response
             .bytes()
             .await
