--- a/components/engines/src/cache.rs
+++ b/components/engines/src/cache.rs
@@ -1,16 +1,16 @@
-//! Events of an engine's prefix cache, with the names of vLLM's KV-cache events. vLLM publishes them
-//! over ZeroMQ; here they are read over HTTP, as a replay from a sequence number on.
+//! Prefix cache events of an engine, named like vLLM's KV-cache events. vLLM publishes them over
+//! ZeroMQ; this client polls them over HTTP, as a replay that starts after a sequence number.
 
 use serde::Deserialize;
 
-/// A change of an engine's prefix cache.
+/// Insertion into or eviction from an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Counts the engine's events; a jump says that some were lost.
+    /// Sequence number of the engine's event; a gap means that events were lost.
     pub seq: u64,
-    /// Hash of the prefix.
+    /// Hash of the cached prefix.
     pub prefix: u64,
-    /// Whether it was stored, or else removed.
+    /// `true` if the prefix was stored, `false` if it was removed.
     pub stored: bool,
 }
 
--- a/components/engines/src/client.rs
+++ b/components/engines/src/client.rs
@@ -1,6 +1,6 @@
-//! Requests to engines, by OpenAI's chat-completions API as vLLM speaks it. A generation is named by
-//! the caller of the engine through `X-Request-Id`; it is resumed by `GET` with `Last-Event-ID` and
-//! cancelled by `DELETE` on its completion.
+//! Requests to engines over OpenAI's chat completions API as vLLM implements it. The client chooses
+//! the id of a generation and sends it as `X-Request-Id`. `GET` on the completion with
+//! `Last-Event-ID` resumes the generation, `DELETE` cancels it.
 
 use crate::cache::{CacheEvent, PublishedEvent};
 use crate::load::{LoadReport, parse_load};
@@ -13,47 +13,47 @@
 use std::time::Duration;
 use thiserror::Error;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
-const SHORT_CALL_LIMIT: Duration = Duration::from_millis(1500);
-const IDLE_LINKS_PER_ENGINE: usize = 64;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+const MAX_IDLE_CONNECTIONS_PER_ENGINE: usize = 64;
 
-/// Where an engine listens, and in which life it is expected.
+/// Address of an engine, and the incarnation that is expected there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// The engine and its life.
+    /// Id and incarnation of the engine.
     pub key: TargetKey,
-    /// Its address.
+    /// Address at which the engine listens.
     pub address: SocketAddr,
 }
 
 /// Why a generation did not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The engine could not be reached: it was sent nothing.
+    /// The engine could not be reached; nothing was sent.
     #[error("the engine at {address} could not be reached: {cause}")]
     NotReached {
-        /// Where.
+        /// Address of the engine.
         address: SocketAddr,
-        /// Why.
+        /// Cause, for a person.
         cause: String,
     },
-    /// The engine refused it and did not run it.
+    /// The engine rejected the request and did not run it.
     #[error("the engine refused with status {status}")]
     Refused {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// What the engine said.
+        /// Body of the engine's response.
         body: Bytes,
-        /// The pause that it asks for, in milliseconds.
+        /// `Retry-After` in milliseconds, if the engine sent one.
         pause_ms: Option<u64>,
     },
-    /// It was sent, and no answer came: the engine may be running it.
+    /// The request was sent and got no response; the engine may be running it.
     #[error("the engine at {address} did not answer: {cause}")]
     NoAnswer {
-        /// Where.
+        /// Address of the engine.
         address: SocketAddr,
-        /// Why.
+        /// Cause, for a person.
         cause: String,
     },
 }
@@ -61,33 +61,33 @@
 /// Why a generation could not be resumed.
 #[derive(Debug, Error)]
 pub enum ResumeError {
-    /// The engine answered and does not know the generation: it is gone for good.
+    /// The engine does not know the generation, so it can never be resumed.
     #[error("the engine does not know this generation")]
     Unknown,
-    /// The engine could not be reached or did not answer; it may be resumed later.
+    /// The engine could not be reached or did not respond; a later attempt may succeed.
     #[error("the engine could not be reached: {0}")]
     NotReached(String),
 }
 
-/// Why an order was not taken.
+/// Why an engine did not accept an order.
 #[derive(Debug, Error)]
 pub enum OrderError {
-    /// The engine has seen an order with a higher fence.
+    /// The engine has already accepted an order with a higher fencing token.
     #[error("the engine has seen a later order")]
     Fenced,
-    /// The engine could not be reached or failed.
+    /// The engine could not be reached or returned an error.
     #[error("the order did not reach the engine: {0}")]
     Failed(String),
 }
 
-/// An order to an engine, fenced by the revision of the settings that it follows from.
+/// An order to an engine. Its fencing token is the revision of the settings that caused it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Order<'a> {
     action: &'a str,
     fence: u64,
 }
 
-/// Client of all engines. Cheap to clone.
+/// HTTP client of all engines. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: Client,
@@ -95,24 +95,25 @@
 }
 
 impl EngineClient {
-    /// A client that takes an engine for silent after `silence_ms` without an event.
+    /// Creates a client whose streams fail with [`StreamError::Silent`](crate::StreamError::Silent)
+    /// after `silence_ms` without an event.
     ///
     /// # Errors
-    /// The HTTP library's, where it cannot start.
+    /// The error of the HTTP library if it cannot start.
     pub fn new(silence_ms: u64) -> Result<Self, reqwest::Error> {
         let http = Client::builder()
-            .connect_timeout(CONNECT_LIMIT)
-            .pool_max_idle_per_host(IDLE_LINKS_PER_ENGINE)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_ENGINE)
             .tcp_nodelay(true)
             .no_proxy()
             .build()?;
         Ok(Self { http, silence_ms })
     }
 
-    /// Starts a generation under the name `generation`.
+    /// Starts a generation with the id `generation`.
     ///
     /// # Errors
-    /// [`StartError`], which says whether the engine may be running it.
+    /// [`StartError`], which tells whether the engine may be running the generation.
     pub async fn start(
         &self,
         endpoint: Endpoint,
@@ -127,7 +128,7 @@
             .header("x-request-id", generation)
             .body(body)
             .send();
-        let response = match tokio::time::timeout(HEAD_LIMIT, send).await {
+        let response = match tokio::time::timeout(RESPONSE_HEAD_TIMEOUT, send).await {
             Err(_) => {
                 let cause = "no response head in time".to_owned();
                 return Err(StartError::NoAnswer { address, cause });
@@ -158,10 +159,10 @@
         Ok(self.stream(response, generation, 0))
     }
 
-    /// Resumes a generation after the chunk `next_index - 1`.
+    /// Resumes a generation at the chunk `next_index`.
     ///
     /// # Errors
-    /// [`ResumeError`], which says whether a later try can succeed.
+    /// [`ResumeError`], which tells whether a later attempt can succeed.
     pub async fn resume(
         &self,
         endpoint: Endpoint,
@@ -172,7 +173,7 @@
         if let Some(last) = next_index.checked_sub(1) {
             request = request.header("last-event-id", format!("{generation}:{last}"));
         }
-        let response = match tokio::time::timeout(SHORT_CALL_LIMIT, request.send()).await {
+        let response = match tokio::time::timeout(SHORT_CALL_TIMEOUT, request.send()).await {
             Err(_) => return Err(ResumeError::NotReached("no answer in time".into())),
             Ok(Err(error)) => return Err(ResumeError::NotReached(error.to_string())),
             Ok(Ok(response)) => response,
@@ -184,35 +185,46 @@
         }
     }
 
-    /// Cancels a generation. Whether it succeeded does not matter to the caller's answer.
+    /// Cancels a generation on a best-effort basis. Errors are ignored, because the caller's
+    /// response does not depend on the cancellation.
     pub async fn cancel(&self, endpoint: Endpoint, generation: &str) {
         let url = completion_url(endpoint, generation);
-        let request = self.http.delete(url).timeout(SHORT_CALL_LIMIT);
+        let request = self.http.delete(url).timeout(SHORT_CALL_TIMEOUT);
         let _ = request.send().await;
     }
 
-    /// Reads an engine's load.
+    /// Reads the load metrics of an engine.
     ///
     /// # Errors
-    /// The HTTP library's, where the engine does not answer.
+    /// The error of the HTTP library if the engine does not respond.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, reqwest::Error> {
         let url = format!("http://{address}/metrics");
-        let response = self.http.get(url).timeout(SHORT_CALL_LIMIT).send().await?;
+        let response = self
+            .http
+            .get(url)
+            .timeout(SHORT_CALL_TIMEOUT)
+            .send()
+            .await?;
         let text = response.error_for_status()?.text().await?;
         Ok(parse_load(&text))
     }
 
-    /// Reads an engine's cache events after `after`.
+    /// Reads the cache events of an engine whose sequence numbers are higher than `after`.
     ///
     /// # Errors
-    /// The HTTP library's, where the engine does not answer.
+    /// The error of the HTTP library if the engine does not respond.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
         after: u64,
     ) -> Result<Vec<CacheEvent>, reqwest::Error> {
         let url = format!("http://{address}/kv_events?after={after}");
-        let response = self.http.get(url).timeout(SHORT_CALL_LIMIT).send().await?;
+        let response = self
+            .http
+            .get(url)
+            .timeout(SHORT_CALL_TIMEOUT)
+            .send()
+            .await?;
         let published: Vec<PublishedEvent> = response.error_for_status()?.json().await?;
         Ok(published
             .into_iter()
@@ -220,10 +232,10 @@
             .collect())
     }
 
-    /// Gives an engine an order, fenced by `fence`.
+    /// Sends an order to an engine with the fencing token `fence`.
     ///
     /// # Errors
-    /// [`OrderError`].
+    /// [`OrderError`] if the engine did not accept the order.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -233,7 +245,7 @@
         let request = self
             .http
             .post(format!("http://{address}/orders"))
-            .timeout(SHORT_CALL_LIMIT)
+            .timeout(SHORT_CALL_TIMEOUT)
             .json(&Order { action, fence });
         let response = request
             .send()
--- a/components/engines/src/lib.rs
+++ b/components/engines/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of model engines: streams, resume, cancel, load and orders.
+//! HTTP client of model engines: starts, resumes and cancels generations, reads load and cache
+//! events, and sends fenced orders.
 
 mod cache;
 mod client;
--- a/components/engines/src/load.rs
+++ b/components/engines/src/load.rs
@@ -1,28 +1,28 @@
-//! Load as engines report it: Prometheus text with vLLM's metric names.
+//! Parser of the load that engines report: Prometheus text format with vLLM's metric names.
 
 use prelude::TargetIncarnation;
 use prometheus_parse::{Scrape, Value};
 
-/// One report of an engine.
+/// Load of an engine at the time of one poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The life of the engine that reports: its process start time in milliseconds.
+    /// Incarnation of the engine: its process start time in milliseconds.
     pub incarnation: TargetIncarnation,
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait at the engine.
+    /// Requests queued at the engine.
     pub waiting: u32,
-    /// Share of the memory in use, between 0 and 1.
+    /// Share of the KV cache in use, between 0 and 1.
     pub memory_share: f64,
     /// Preemptions since the engine started.
     pub preemptions: u64,
-    /// Whether the engine says that it leaves.
+    /// Whether the engine announces that it is shutting down.
     pub leaving: bool,
 }
 
-/// Reads a report; lines that are not known are passed over.
+/// Parses a report. Unknown metrics are ignored; unparsable text gives the default report.
 pub fn parse_load(text: &str) -> LoadReport {
-    // The library takes no colon in a metric's name, though Prometheus does.
+    // The parser rejects colons in metric names, although Prometheus allows them.
     let lines = text.lines().map(|line| Ok(line.replace("vllm:", "vllm_")));
     let mut report = LoadReport::default();
     let Ok(scrape) = Scrape::parse(lines) else {
--- a/components/engines/src/load_tests.rs
+++ b/components/engines/src/load_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn reads_metrics_of_an_engine() {
+fn parses_engine_metrics() {
     let text = "# TYPE vllm:num_requests_running gauge\nvllm:num_requests_running 12\n\
                 # TYPE vllm:num_preemptions_total counter\nvllm:num_preemptions_total 3\n\
                 vllm:kv_cache_usage_perc{model=\"m\"} 0.5\nprocess_start_time_seconds 1.5\n";
@@ -13,6 +13,6 @@
 }
 
 #[test]
-fn passes_over_text_that_is_no_report() {
+fn returns_the_default_report_for_unparsable_text() {
     assert_eq!(parse_load("\u{0}{{{ not 1 2 3"), LoadReport::default());
 }
--- a/components/engines/src/stream.rs
+++ b/components/engines/src/stream.rs
@@ -1,4 +1,4 @@
-//! The events of one generation, checked to come in order and from that generation only.
+//! Event stream of one generation. Checks that chunks arrive in order and belong to the generation.
 
 use eventsource_stream::{EventStream, Eventsource};
 use futures::StreamExt;
@@ -6,50 +6,50 @@
 use thiserror::Error;
 use tokio::time::{Duration, timeout};
 
-/// One event of an engine.
+/// One event of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// The next chunk of the answer.
+    /// The next chunk of the generated answer.
     Chunk {
-        /// Counts the chunks of a generation from zero.
+        /// Index of the chunk in its generation, from zero.
         index: u64,
-        /// The chunk's JSON, as the engine wrote it.
+        /// JSON of the chunk, as the engine sent it.
         data: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
 }
 
-/// Why a stream gave no further event. The generation may still live at the engine.
+/// Why a stream stopped. The generation may still be running at the engine.
 #[derive(Debug, Error)]
 pub enum StreamError {
-    /// The link broke.
+    /// The connection failed.
     #[error("the link to the engine broke: {0}")]
     Broken(String),
-    /// The link ended before the answer did.
+    /// The connection was closed before the answer was complete.
     #[error("the engine's stream ended before its answer was whole")]
     EndedEarly,
-    /// Nothing came for too long.
+    /// No event arrived within the timeout.
     #[error("the engine was silent for {silence_ms} ms")]
     Silent {
-        /// How long was waited.
+        /// The timeout, in milliseconds.
         silence_ms: u64,
     },
-    /// An event came that is not the next of this generation.
+    /// An event arrived that is not the next chunk of this generation.
     #[error("expected chunk {expected} of this generation, got `{got}`")]
     OutOfOrder {
-        /// The next index.
+        /// Index of the next chunk.
         expected: u64,
-        /// The id that came.
+        /// Event id that was received.
         got: String,
     },
 }
 
-type Events = EventStream<BodyDataStream<reqwest::Body>>;
+type SseEvents = EventStream<BodyDataStream<reqwest::Body>>;
 
 /// An open stream from an engine.
 pub struct EngineStream {
-    events: Events,
+    events: SseEvents,
     generation: String,
     next_index: u64,
     silence_ms: u64,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The index that the next chunk must have.
+    /// Index that the next chunk must have.
     pub fn next_index(&self) -> u64 {
         self.next_index
     }
@@ -79,11 +79,11 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// [`StreamError`]; the stream is of no further use then, and may be resumed at the engine from
-    /// [`EngineStream::next_index`].
+    /// [`StreamError`]; the stream is unusable afterwards. The generation may be resumed at the
+    /// engine from [`EngineStream::next_index`].
     pub async fn next(&mut self) -> Result<EngineEvent, StreamError> {
-        let wait = Duration::from_millis(self.silence_ms);
-        let event = match timeout(wait, self.events.next()).await {
+        let silence_timeout = Duration::from_millis(self.silence_ms);
+        let event = match timeout(silence_timeout, self.events.next()).await {
             Err(_) => {
                 return Err(StreamError::Silent {
                     silence_ms: self.silence_ms,
@@ -111,7 +111,8 @@
     }
 }
 
-/// The index in an event id of the form `GENERATION:INDEX`, where it is of this generation.
+/// Returns the index from an event id of the form `GENERATION:INDEX`, or `None` if the id is
+/// malformed or of another generation.
 fn chunk_index(id: &str, generation: &str) -> Option<u64> {
     let rest = id.strip_prefix(generation)?;
     rest.strip_prefix(':')?.parse().ok()
