--- a/components/callers/src/chat.rs
+++ b/components/callers/src/chat.rs
@@ -22,7 +22,7 @@
     /// Hash and estimated tokens of the first message, which engines may have cached.
     pub prefix: Option<(u64, u32)>,
     /// Length of the answer as the metadata tell it; only the oracle policy of measurements reads it.
-    pub told_output_tokens: Option<u32>,
+    pub declared_output_tokens: Option<u32>,
     /// The whole body.
     pub body: Map<String, Value>,
 }
@@ -64,7 +64,7 @@
         max_tokens,
         prompt_tokens,
         prefix: prefix(messages),
-        told_output_tokens: told
+        declared_output_tokens: told
             .and_then(Value::as_str)
             .and_then(|text| text.parse().ok()),
         body,
--- a/components/node/src/chat.rs
+++ b/components/node/src/chat.rs
@@ -195,7 +195,7 @@
         wait_left_ms: 0,
         caller_left_ms: 0,
         prefix: request.prefix,
-        told_tokens: request.told_output_tokens,
+        told_tokens: request.declared_output_tokens,
         avoid: Avoided::default(),
     };
     let request = RequestKey::of(account.id, "chat", &model, "", &body);
