--- a/components/callers/src/chat.rs
+++ b/components/callers/src/chat.rs
@@ -1,36 +1,38 @@
-//! Reads the parts of a chat-completions request that decide where it goes. The rest is passed on as
-//! it came.
+//! Parses the fields of a chat-completions request that routing depends on. Other fields are
+//! forwarded unchanged.
 
 use bytes::Bytes;
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes taken for one token where the engine's tokenizer is not known.
+/// Estimated bytes per token, used because the engine's tokenizer is unknown.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A request for a generation.
+/// A parsed chat-completions request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatRequest {
-    /// The model's name.
+    /// Name of the requested model.
     pub model: String,
-    /// Whether the caller wants a stream.
+    /// Whether the response is to be streamed.
     pub stream: bool,
-    /// Largest answer that the caller wants.
+    /// Maximum tokens of the answer, if the caller sets a limit.
     pub max_tokens: Option<u32>,
-    /// Estimated tokens of the prompt.
+    /// Estimated tokens of the prompt, at least 1.
     pub prompt_tokens: u32,
-    /// Hash and estimated tokens of the first message, which engines may have cached.
+    /// Hash and estimated tokens of the first message, which engines may have in their prefix cache.
+    /// `None` if there is only one message.
     pub prefix: Option<(u64, u32)>,
-    /// Length of the answer as the metadata tell it; only the oracle policy of measurements reads it.
+    /// Length of the answer in tokens as declared in the request's metadata. Only the oracle policy,
+    /// which serves for benchmarks, reads it.
     pub declared_output_tokens: Option<u32>,
-    /// The whole body.
+    /// The complete JSON body.
     pub body: Map<String, Value>,
 }
 
-/// Reads a request.
+/// Parses a request body.
 ///
 /// # Errors
-/// A sentence for the caller.
+/// A message for the caller that names the invalid field.
 pub fn parse_chat(body: &Bytes) -> Result<ChatRequest, String> {
     let value: Value =
         serde_json::from_slice(body).map_err(|error| format!("the body is not JSON: {error}"))?;
@@ -55,7 +57,7 @@
     }
     let max_tokens = max_tokens(&body)?;
     let prompt_tokens = messages.iter().map(content_tokens).sum::<u32>().max(1);
-    let told = body
+    let declared = body
         .get("metadata")
         .and_then(|metadata| metadata.get("output_tokens"));
     Ok(ChatRequest {
@@ -64,7 +66,7 @@
         max_tokens,
         prompt_tokens,
         prefix: prefix(messages),
-        declared_output_tokens: told
+        declared_output_tokens: declared
             .and_then(Value::as_str)
             .and_then(|text| text.parse().ok()),
         body,
--- a/components/callers/src/errors.rs
+++ b/components/callers/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors as callers get them: JSON that always says whether the request was run.
+//! Error responses to callers: JSON that always states whether the request was run.
 
 use prelude::{Refusal, RefusalReason, RunState};
 use serde::{Deserialize, Serialize};
@@ -6,35 +6,35 @@
 use warp::http::header::{HeaderValue, RETRY_AFTER};
 use warp::reply::{Reply, Response};
 
-/// The body of an error, in the shape that OpenAI's clients read.
+/// Body of an error response, in the format of OpenAI's API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong.
+/// Details of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Kind of error.
+    /// Category of the error.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Reason, for a program.
+    /// Machine-readable reason.
     pub code: String,
-    /// Reason, for a person.
+    /// Human-readable reason.
     pub message: String,
     /// Whether the request was run.
     pub run: RunState,
-    /// When to come back, where waiting helps.
+    /// Delay in milliseconds after which a retry may succeed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
-    /// Chunks that were delivered before the error.
+    /// Number of chunks delivered before the error.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub delivered_chunks: Option<u64>,
 }
 
 impl ErrorDetail {
-    /// An error without a time to come back.
+    /// Creates an error without a retry delay.
     pub fn new(kind: &str, code: &str, message: impl Into<String>, run: RunState) -> Self {
         Self {
             kind: kind.into(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The error of a request that was refused.
+    /// Creates the error for a refused request.
     pub fn refused(refusal: Refusal) -> Self {
         let code = refusal.reason.as_str();
         let message = refusal_message(refusal.reason);
@@ -55,7 +55,7 @@
         detail
     }
 
-    /// This error as a response.
+    /// Converts the error to a response; a retry delay also sets `Retry-After`, in whole seconds.
     pub fn response(self, status: StatusCode) -> Response {
         let retry_after_ms = self.retry_after_ms;
         let body = warp::reply::json(&ErrorBody { error: self });
@@ -70,7 +70,7 @@
     }
 }
 
-/// The response to a request that was refused.
+/// Returns the response to a refused request.
 pub(crate) fn refusal_response(refusal: Refusal) -> Response {
     ErrorDetail::refused(refusal).response(refusal_status(refusal.reason))
 }
--- a/components/callers/src/front.rs
+++ b/components/callers/src/front.rs
@@ -1,4 +1,4 @@
-//! What the HTTP side asks of the rest of the box.
+//! Interface between the HTTP server and the request handling of the box.
 
 use crate::chat::ChatRequest;
 use bytes::Bytes;
@@ -6,58 +6,58 @@
 use std::future::Future;
 use tokio::sync::mpsc;
 
-/// One event of an answer, as the caller gets it.
+/// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerEvent {
-    /// A generation began, or was taken up again; its chunks follow. Before the first chunk this may
-    /// come again, when the generation had to be started elsewhere.
+    /// A generation was started or resumed; its chunks follow. This event repeats if the generation
+    /// is restarted on another engine before its first chunk.
     Began {
-        /// Prefix of the ids of the events, from which any box can resume the stream.
+        /// Prefix of the event ids: a signed resume token with which any box can resume the stream.
         seal: String,
     },
     /// The next chunk.
     Chunk {
-        /// Counts the chunks of the answer from zero.
+        /// Index of the chunk in the answer, from zero.
         index: u64,
         /// JSON of the chunk.
         data: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
-    /// The answer ends here and is not whole.
+    /// The stream ended before the answer was complete.
     Failed(StreamFailure),
 }
 
-/// Why an answer ended before it was whole.
+/// Why a stream ended before the answer was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamFailure {
-    /// What the caller can rely on.
+    /// Whether and how far the request was run.
     pub run: RunState,
-    /// For a person.
+    /// Human-readable reason.
     pub message: String,
-    /// Chunks that were delivered.
+    /// Number of chunks delivered to the caller.
     pub delivered: u64,
-    /// When to come back, where that helps.
+    /// Delay in milliseconds after which a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
-/// An answer that is being streamed.
+/// An open stream of an answer.
 pub struct OpenedStream {
     /// The events, in order.
     pub events: mpsc::Receiver<CallerEvent>,
 }
 
-/// What became of a request for a generation.
+/// Result of a chat-completions request.
 pub enum ChatAnswer {
-    /// It runs.
+    /// The generation is running.
     Stream(OpenedStream),
-    /// It was not run.
+    /// The request was not run.
     Refused(Refusal),
-    /// It was not run because it is wrong.
+    /// The request is invalid and was not run. Holds the message for the caller.
     Invalid(String),
-    /// The stream that was to be resumed is not known to this account.
+    /// The resume token is invalid or belongs to another account.
     UnknownStream,
-    /// The stream that was to be resumed ended with its engine.
+    /// The stream cannot be resumed, because its engine was lost.
     Lost(StreamFailure),
 }
 
@@ -68,51 +68,51 @@
     pub service: String,
     /// HTTP method.
     pub method: String,
-    /// Path below the service, with its query.
+    /// Path relative to the service, with the query.
     pub path: String,
-    /// The `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub key: Option<String>,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// What became of a call of a plain service.
+/// Result of a call of a plain service.
 #[derive(Clone, Debug)]
 pub enum ServiceAnswer {
-    /// It ran; this is the service's answer.
+    /// The call ran; this is the response of the service.
     Done {
         /// HTTP status.
         status: u16,
-        /// Type of the body.
+        /// Content type of the body.
         content_type: Option<String>,
         /// The body.
         body: Bytes,
-        /// Whether this is the recorded answer of an earlier request with the same key.
+        /// Whether this is the recorded response to an earlier request with the same key.
         replayed: bool,
     },
-    /// It was not run.
+    /// The request was not run.
     Refused(Refusal),
-    /// It was not run because it is wrong.
+    /// The request is invalid and was not run. Holds the message for the caller.
     Invalid(String),
-    /// It was not run: the key belongs to another request.
+    /// The call was not run: its key was already used for a different request.
     KeyReused,
-    /// No such service.
+    /// The service does not exist.
     NoService,
-    /// It may have run, and will not be run again.
+    /// The call may have run, and is not retried.
     Unknown(String),
 }
 
-/// The box behind the HTTP side.
+/// Handler of the requests that the HTTP server accepts.
 pub trait Front: Clone + Send + Sync + 'static {
-    /// The account to which a bearer key belongs.
+    /// Returns the account to which a bearer key belongs.
     fn authenticate(&self, key: &str) -> Option<AccountId>;
 
-    /// Names of the models that are served.
+    /// Returns the names of the served models.
     fn models(&self) -> Vec<String>;
 
-    /// Whether the balancer shall send new requests.
+    /// Returns whether the load balancer should send new requests (readiness).
     fn ready(&self) -> bool;
 
     /// Starts a generation.
@@ -122,7 +122,7 @@
         request: ChatRequest,
     ) -> impl Future<Output = ChatAnswer> + Send;
 
-    /// Goes on with a stream after the event `last_event_id`.
+    /// Resumes a stream after the event `last_event_id`.
     fn resume(
         &self,
         account: AccountId,
--- a/components/callers/src/lib.rs
+++ b/components/callers/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP towards callers: chat completions, plain services, health. What the answers are is decided
-//! by whoever implements [`Front`].
+//! HTTP API for callers: chat completions, plain services and health checks. An implementation of
+//! [`Front`] handles the requests.
 
 mod chat;
 mod errors;
@@ -8,7 +8,7 @@
 mod seal;
 mod server;
 mod sse;
-mod whole;
+mod unstreamed;
 
 pub use chat::{ChatRequest, parse_chat};
 pub use errors::{ErrorBody, ErrorDetail};
--- a/components/callers/src/routes.rs
+++ b/components/callers/src/routes.rs
@@ -1,10 +1,10 @@
-//! The routes that callers use.
+//! HTTP routes of the caller API.
 
 use crate::chat::parse_chat;
 use crate::errors::{ErrorDetail, refusal_response};
 use crate::front::{ChatAnswer, Front, ServiceAnswer, ServiceCall};
 use crate::sse::{failure_detail, stream_response};
-use crate::whole::whole_response;
+use crate::unstreamed::completion_response;
 use bytes::Bytes;
 use prelude::{AccountId, RunState};
 use serde::Serialize;
@@ -16,7 +16,7 @@
 
 const IDEMPOTENCY_KEY_CHARS_MAX: usize = 255;
 
-/// All routes, for bodies up to `body_bytes`.
+/// Returns all routes. Bodies larger than `body_bytes` are rejected.
 pub(crate) fn routes<F: Front>(
     front: F,
     body_bytes: u64,
@@ -26,14 +26,14 @@
         .or(models(front.clone()))
         .or(services(front.clone(), body_bytes))
         .or(health(front))
-        .recover(rejection)
+        .recover(handle_rejection)
 }
 
-fn with<F: Front>(front: F) -> impl Filter<Extract = (F,), Error = Infallible> + Clone {
+fn with_front<F: Front>(front: F) -> impl Filter<Extract = (F,), Error = Infallible> + Clone {
     warp::any().map(move || front.clone())
 }
 
-/// The bearer key of a request.
+/// Extracts the bearer key from the `Authorization` header.
 fn bearer() -> impl Filter<Extract = (Option<String>,), Error = Rejection> + Clone {
     warp::header::optional("authorization").map(|header: Option<String>| {
         let header = header?;
@@ -44,7 +44,7 @@
     })
 }
 
-fn account<F: Front>(front: &F, key: Option<String>) -> Option<AccountId> {
+fn authenticate<F: Front>(front: &F, key: Option<String>) -> Option<AccountId> {
     front.authenticate(&key?)
 }
 
@@ -58,7 +58,7 @@
         .and(warp::header::optional("last-event-id"))
         .and(warp::body::content_length_limit(body_bytes))
         .and(warp::body::bytes())
-        .and(with(front))
+        .and(with_front(front))
         .then(start_chat)
 }
 
@@ -68,7 +68,7 @@
     body: Bytes,
     front: F,
 ) -> Response {
-    let Some(account) = account(&front, key) else {
+    let Some(account) = authenticate(&front, key) else {
         return unauthorized();
     };
     if let Some(id) = last_event_id.filter(|id| !id.is_empty()) {
@@ -83,15 +83,15 @@
     }
 }
 
-/// `EventSource` clients reconnect by `GET`.
+/// Resumes a stream by `GET`, which `EventSource` clients use to reconnect.
 fn resume<F: Front>(front: F) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
     warp::path!("v1" / "chat" / "completions")
         .and(warp::get())
         .and(bearer())
         .and(warp::header::header("last-event-id"))
-        .and(with(front))
+        .and(with_front(front))
         .then(|key: Option<String>, id: String, front: F| async move {
-            match account(&front, key) {
+            match authenticate(&front, key) {
                 None => unauthorized(),
                 Some(account) => chat_response(front.resume(account, &id).await, true).await,
             }
@@ -101,7 +101,7 @@
 async fn chat_response(answer: ChatAnswer, stream: bool) -> Response {
     match answer {
         ChatAnswer::Stream(opened) if stream => stream_response(opened),
-        ChatAnswer::Stream(opened) => whole_response(opened).await,
+        ChatAnswer::Stream(opened) => completion_response(opened).await,
         ChatAnswer::Refused(refusal) => refusal_response(refusal),
         ChatAnswer::Invalid(message) => invalid(message),
         ChatAnswer::UnknownStream => ErrorDetail::new(
@@ -131,9 +131,9 @@
     warp::path!("v1" / "models")
         .and(warp::get())
         .and(bearer())
-        .and(with(front))
+        .and(with_front(front))
         .map(|key: Option<String>, front: F| {
-            if account(&front, key).is_none() {
+            if authenticate(&front, key).is_none() {
                 return unauthorized();
             }
             let model = |id| Model {
@@ -170,7 +170,7 @@
         .and(warp::header::optional("idempotency-key"))
         .and(warp::header::optional("content-type"))
         .and(body)
-        .and(with(front))
+        .and(with_front(front))
         .then(call_service)
 }
 
@@ -189,7 +189,7 @@
     body: Bytes,
     front: F,
 ) -> Response {
-    let Some(account) = account(&front, bearer_key) else {
+    let Some(account) = authenticate(&front, bearer_key) else {
         return unauthorized();
     };
     let key = match key.map(idempotency_key).transpose() {
@@ -211,7 +211,7 @@
     service_response(front.call(account, call).await)
 }
 
-/// The key without the quotes of the header's structured form.
+/// Strips the quotes of a structured header string and checks the length of the key.
 fn idempotency_key(header: String) -> Result<String, String> {
     let key = header.trim().trim_matches('"').to_owned();
     if key.is_empty() || key.len() > IDEMPOTENCY_KEY_CHARS_MAX {
@@ -277,13 +277,15 @@
 
 fn health<F: Front>(front: F) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
     let live = warp::path!("livez").map(|| "live");
-    let ready = warp::path!("readyz").and(with(front)).map(|front: F| {
-        let (text, status) = match front.ready() {
-            true => ("ready", StatusCode::OK),
-            false => ("not ready", StatusCode::SERVICE_UNAVAILABLE),
-        };
-        warp::reply::with_status(text, status)
-    });
+    let ready = warp::path!("readyz")
+        .and(with_front(front))
+        .map(|front: F| {
+            let (text, status) = match front.ready() {
+                true => ("ready", StatusCode::OK),
+                false => ("not ready", StatusCode::SERVICE_UNAVAILABLE),
+            };
+            warp::reply::with_status(text, status)
+        });
     live.or(ready)
 }
 
@@ -302,7 +304,7 @@
         .response(StatusCode::BAD_REQUEST)
 }
 
-async fn rejection(rejection: Rejection) -> Result<Response, Infallible> {
+async fn handle_rejection(rejection: Rejection) -> Result<Response, Infallible> {
     let (status, message) = if rejection.is_not_found() {
         (StatusCode::NOT_FOUND, "no such path".to_owned())
     } else if rejection.find::<warp::reject::PayloadTooLarge>().is_some() {
--- a/components/callers/src/seal.rs
+++ b/components/callers/src/seal.rs
@@ -1,4 +1,5 @@
-//! Resume tokens: where a stream is, sealed so that no account can read another's.
+//! Resume tokens: the location of a stream, authenticated by an HMAC, so that no account can read a
+//! stream of another account.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,22 +10,22 @@
 
 const ADDRESS_BYTES: usize = 58;
 const MAC_BYTES: usize = 16;
-const TOKEN_CHARS_MAX: usize = 140;
+const MAX_EVENT_ID_CHARS: usize = 140;
 
-/// Where a stream is. The generation is named by a UUID.
+/// Location of a stream, which a resume token encodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamAddress {
-    /// The account to which the answer belongs.
+    /// Account that owns the stream.
     pub account: AccountId,
-    /// The model.
+    /// Model that generates the answer.
     pub model: ModelId,
-    /// The engine and its life.
+    /// Id and incarnation of the engine.
     pub target: TargetKey,
-    /// The generation.
+    /// UUID of the generation.
     pub generation: u128,
-    /// The box that serves the caller, to be told when another takes over.
+    /// Box that serves the caller; it is notified when another box takes the stream over.
     pub entry: BoxId,
-    /// Where the engine listened when the stream began; IPv4 only.
+    /// Address of the engine when the stream began; IPv4 only.
     pub address: SocketAddr,
 }
 
@@ -46,19 +47,19 @@
     }
 
     fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        let number = |at: usize| -> Option<u64> {
-            let part = bytes.get(at..at + 8)?;
+        let read_u64 = |offset: usize| -> Option<u64> {
+            let part = bytes.get(offset..offset + 8)?;
             Some(u64::from_be_bytes(part.try_into().ok()?))
         };
         let generation = u128::from_be_bytes(bytes.get(32..48)?.try_into().ok()?);
         let octets: [u8; 4] = bytes.get(48..52)?.try_into().ok()?;
         let port = u16::from_be_bytes(bytes.get(52..54)?.try_into().ok()?);
         Some(Self {
-            account: AccountId(number(0)?),
-            model: ModelId(number(8)?),
+            account: AccountId(read_u64(0)?),
+            model: ModelId(read_u64(8)?),
             target: TargetKey {
-                id: TargetId(number(16)?),
-                incarnation: TargetIncarnation(number(24)?),
+                id: TargetId(read_u64(16)?),
+                incarnation: TargetIncarnation(read_u64(24)?),
             },
             generation,
             entry: BoxId(u32::from_be_bytes(bytes.get(54..58)?.try_into().ok()?)),
@@ -67,14 +68,15 @@
     }
 }
 
-/// Seals and opens resume tokens. The first key seals; every key opens.
+/// Signs and verifies resume tokens. The first key signs; every key verifies, which allows key
+/// rotation.
 #[derive(Clone)]
 pub struct ResumeSeal {
     keys: Vec<Hmac<Sha256>>,
 }
 
 impl ResumeSeal {
-    /// A seal with the keys of the settings.
+    /// Creates a signer from the keys of the settings.
     pub fn new(keys: &[String]) -> Self {
         let keys = keys
             .iter()
@@ -83,8 +85,9 @@
         Self { keys }
     }
 
-    /// The prefix of the ids of a stream's events; `PREFIX.INDEX` is an event's id. Empty where there
-    /// is no key or the engine has no IPv4 address, and the stream then cannot be resumed.
+    /// Returns the resume token of a stream, which is the prefix of its event ids: an event id is
+    /// `PREFIX.INDEX`. The token is empty, and the stream cannot be resumed, if there is no key or the
+    /// engine has no IPv4 address.
     pub fn seal(&self, address: StreamAddress) -> String {
         let (Some(key), Some(bytes)) = (self.keys.first(), address.to_bytes()) else {
             return String::new();
@@ -94,9 +97,9 @@
         URL_SAFE_NO_PAD.encode(token)
     }
 
-    /// Opens an event's id: where the stream is, and the index that comes next.
+    /// Verifies an event id and returns the location of the stream and the index of the next chunk.
     pub fn open(&self, event_id: &str) -> Option<(StreamAddress, u64)> {
-        if event_id.len() > TOKEN_CHARS_MAX {
+        if event_id.len() > MAX_EVENT_ID_CHARS {
             return None;
         }
         let (token, index) = event_id.rsplit_once('.')?;
@@ -105,14 +108,14 @@
         if bytes.len() != ADDRESS_BYTES + MAC_BYTES {
             return None;
         }
-        let (address, seal) = bytes.split_at(ADDRESS_BYTES);
+        let (address, tag) = bytes.split_at(ADDRESS_BYTES);
         // `verify_truncated_left` compares in constant time.
-        let sealed = self.keys.iter().any(|key| {
+        let is_valid = self.keys.iter().any(|key| {
             let mut hmac = key.clone();
             hmac.update(address);
-            hmac.verify_truncated_left(seal).is_ok()
+            hmac.verify_truncated_left(tag).is_ok()
         });
-        if !sealed {
+        if !is_valid {
             return None;
         }
         Some((StreamAddress::from_bytes(address)?, next_index))
--- a/components/callers/src/seal_tests.rs
+++ b/components/callers/src/seal_tests.rs
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn opens_what_it_sealed() {
+fn verifies_a_token_it_signed() {
     let seal = ResumeSeal::new(&["k".into()]);
     let id = format!("{}.7", seal.seal(address()));
     assert_eq!(seal.open(&id), Some((address(), 8)));
 }
 
 #[test]
-fn opens_under_the_second_key_after_rotation() {
+fn verifies_a_token_of_the_previous_key_after_rotation() {
     let old = ResumeSeal::new(&["old".into()]);
     let new = ResumeSeal::new(&["new".into(), "old".into()]);
     let id = format!("{}.0", old.seal(address()));
@@ -33,7 +33,7 @@
 
 proptest! {
     #[test]
-    fn rejects_every_changed_token(at in 0usize..93, flip in 1u8..64) {
+    fn rejects_every_modified_token(at in 0usize..93, flip in 1u8..64) {
         let seal = ResumeSeal::new(&["k".into()]);
         let mut token = URL_SAFE_NO_PAD.decode(seal.seal(address())).unwrap();
         let at = at % token.len();
@@ -43,7 +43,7 @@
     }
 
     #[test]
-    fn takes_any_text_without_panic(text in ".{0,300}") {
+    fn rejects_arbitrary_text_without_panic(text in ".{0,300}") {
         let seal = ResumeSeal::new(&["k".into()]);
         prop_assert!(seal.open(&text).is_none());
     }
--- a/components/callers/src/server.rs
+++ b/components/callers/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections, with bounds on their headers, and drains them on a planned stop.
+//! Accepts connections of callers, limits their headers and drains them on a graceful shutdown.
 
 use crate::front::Front;
 use crate::routes::routes;
@@ -10,21 +10,21 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Bounds on what callers may send.
+/// Limits on requests of callers.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// Largest body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest time in which the headers must have come.
+    /// Timeout for reading the request headers, in milliseconds.
     pub header_time_ms: u64,
 }
 
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves callers on `listener` until `stop` is cancelled, then until the requests that are in
-/// progress have ended. Connections that come while it drains are still served, since the balancer
-/// hears of the stop late; `closed` ends that.
+/// Serves callers on `listener`. When `stop` is cancelled, existing connections are shut down
+/// gracefully. New connections are still accepted until `closed` is cancelled, because the load
+/// balancer learns of the shutdown with a delay. Returns when all requests in progress have ended.
 pub async fn serve<F: Front>(
     front: F,
     listener: TcpListener,
@@ -45,22 +45,27 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((socket, _)) = accepted else {
-            // Most often too many open files: leave time for some to close.
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            // The most frequent cause is too many open files; wait until some are closed.
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
-        // A connection that comes late is served too, and ends with the drain.
-        let ends_with = if stop.is_cancelled() { &closed } else { &stop };
-        let connection = run(builder.clone(), socket, service.clone(), ends_with.clone());
+        // A connection accepted while draining is served until `closed`.
+        let shutdown = if stop.is_cancelled() { &closed } else { &stop };
+        let connection =
+            serve_connection(builder.clone(), socket, service.clone(), shutdown.clone());
         connections.spawn(connection);
     }
     connections.close();
     connections.wait().await;
 }
 
-async fn run<S>(builder: http1::Builder, socket: TcpStream, service: S, stop: CancellationToken)
-where
+async fn serve_connection<S>(
+    builder: http1::Builder,
+    socket: TcpStream,
+    service: S,
+    stop: CancellationToken,
+) where
     S: hyper::service::HttpService<hyper::body::Incoming>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     S::ResBody: 'static,
--- a/components/callers/src/sse.rs
+++ b/components/callers/src/sse.rs
@@ -1,4 +1,4 @@
-//! Writes an answer as server-sent events.
+//! Writes a streamed answer as server-sent events.
 
 use crate::errors::{ErrorBody, ErrorDetail};
 use crate::front::{CallerEvent, OpenedStream, StreamFailure};
@@ -9,23 +9,25 @@
 use tokio::sync::mpsc;
 use warp::reply::{Reply, Response};
 
-/// Events that are written as one piece of body at the most.
-const EVENTS_PER_PIECE: usize = 32;
+/// Maximum number of events written in one chunk of the response body.
+const MAX_EVENTS_PER_CHUNK: usize = 32;
 
 pub(crate) fn stream_response(opened: OpenedStream) -> Response {
-    let body = warp::reply::stream(pieces(opened));
+    let body = warp::reply::stream(body_chunks(opened));
     let typed = warp::reply::with_header(body, "content-type", "text/event-stream");
     warp::reply::with_header(typed, "cache-control", "no-cache").into_response()
 }
 
-struct Writer {
+struct SseWriter {
     seal: String,
     events: mpsc::Receiver<CallerEvent>,
     ready: Vec<CallerEvent>,
 }
 
-fn pieces(opened: OpenedStream) -> impl Stream<Item = Result<Bytes, Infallible>> + Send + Sync {
-    let writer = Writer {
+fn body_chunks(
+    opened: OpenedStream,
+) -> impl Stream<Item = Result<Bytes, Infallible>> + Send + Sync {
+    let writer = SseWriter {
         seal: String::new(),
         events: opened.events,
         ready: Vec::new(),
@@ -33,40 +35,40 @@
     futures::stream::unfold(writer, |mut writer| async move {
         let count = writer
             .events
-            .recv_many(&mut writer.ready, EVENTS_PER_PIECE)
+            .recv_many(&mut writer.ready, MAX_EVENTS_PER_CHUNK)
             .await;
         if count == 0 {
             return None;
         }
-        let mut piece = BytesMut::with_capacity(count * 384);
+        let mut body_chunk = BytesMut::with_capacity(count * 384);
         for event in writer.ready.drain(..) {
             match event {
                 CallerEvent::Began { seal } => writer.seal = seal,
-                event => write_event(&mut piece, &writer.seal, &event),
+                event => write_event(&mut body_chunk, &writer.seal, &event),
             }
         }
-        Some((Ok(piece.freeze()), writer))
+        Some((Ok(body_chunk.freeze()), writer))
     })
 }
 
-fn write_event(piece: &mut BytesMut, seal: &str, event: &CallerEvent) {
-    // Writing into memory does not fail.
+fn write_event(body_chunk: &mut BytesMut, seal: &str, event: &CallerEvent) {
+    // Writing to a memory buffer cannot fail.
     let _ = match event {
         CallerEvent::Chunk { index, data } if seal.is_empty() => {
             let _ = index;
-            write!(piece, "data: {data}\n\n")
+            write!(body_chunk, "data: {data}\n\n")
         }
         CallerEvent::Chunk { index, data } => {
-            write!(piece, "id: {seal}.{index}\ndata: {data}\n\n")
+            write!(body_chunk, "id: {seal}.{index}\ndata: {data}\n\n")
         }
         CallerEvent::Began { .. } => Ok(()),
-        CallerEvent::Done => write!(piece, "data: [DONE]\n\n"),
+        CallerEvent::Done => write!(body_chunk, "data: [DONE]\n\n"),
         CallerEvent::Failed(failure) => {
             let body = ErrorBody {
                 error: failure_detail(failure),
             };
             let json = serde_json::to_string(&body).unwrap_or_default();
-            write!(piece, "event: error\ndata: {json}\n\n")
+            write!(body_chunk, "event: error\ndata: {json}\n\n")
         }
     };
 }
--- a/components/callers/src/whole.rs
+++ b/components/callers/src/unstreamed.rs
@@ -1,4 +1,4 @@
-//! Joins the chunks of an answer for a caller who does not want a stream.
+//! Assembles the chunks of an answer into one response for callers that do not request a stream.
 
 use crate::errors::ErrorDetail;
 use crate::front::{CallerEvent, OpenedStream};
@@ -81,7 +81,7 @@
     }
 }
 
-pub(crate) async fn whole_response(mut opened: OpenedStream) -> Response {
+pub(crate) async fn completion_response(mut opened: OpenedStream) -> Response {
     let mut completion = Completion {
         object: "chat.completion",
         ..Completion::default()
