--- a/components/callers/src/chat.rs
+++ b/components/callers/src/chat.rs
@@ -19,11 +19,11 @@
     pub max_tokens: Option<u32>,
     /// Estimated tokens of the prompt, at least 1.
     pub prompt_tokens: u32,
-    /// Hash and estimated tokens of the first message, which engines may have in their prefix cache.
-    /// `None` if there is only one message.
+    /// Hash and estimated tokens of the first message, which engines may have in their prefix
+    /// cache. `None` if there is only one message, or the first is not plain text.
     pub prefix: Option<(u64, u32)>,
-    /// Length of the answer in tokens as declared in the request's metadata. Only the oracle policy,
-    /// which serves for benchmarks, reads it.
+    /// Length of the answer in tokens as declared in the request's metadata. Only the oracle
+    /// policy, which serves for benchmarks, reads it.
     pub declared_output_tokens: Option<u32>,
     /// The complete JSON body.
     pub body: Map<String, Value>,
--- a/components/callers/src/seal.rs
+++ b/components/callers/src/seal.rs
@@ -86,8 +86,8 @@
     }
 
     /// Returns the resume token of a stream, which is the prefix of its event ids: an event id is
-    /// `PREFIX.INDEX`. The token is empty, and the stream cannot be resumed, if there is no key or the
-    /// engine has no IPv4 address.
+    /// `PREFIX.INDEX`. The token is empty, and the stream cannot be resumed, if there is no key or
+    /// the engine has no IPv4 address.
     pub fn seal(&self, address: StreamAddress) -> String {
         let (Some(key), Some(bytes)) = (self.keys.first(), address.to_bytes()) else {
             return String::new();
